--- a/catalog/table.cpp
+++ b/catalog/endpoint_table.cpp
@@ -1,12 +1,12 @@
-#include "table.h"
+#include "endpoint_table.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
 #include <bit>
 
-#include "labels.h"
-#include "texts.h"
+#include "string_pool.h"
+#include "zone_kind_pool.h"
 
 namespace valedrum::catalog {
 namespace {
@@ -23,11 +23,11 @@
 };
 
 struct Record {
-  Texts::Place text;
+  StringPool::Offset text;
   Slot next_id;           // in the chain of the index by id; in a free record: the next free one
   std::uint32_t address;  // IPv4 in the network's order, or the place of the Extra
   std::uint32_t cell;     // its lower half
-  Slot next;              // in the cell, in the order of putting; kNone: the last
+  Slot next;              // in the cell, in the order of putting; kNoSlot: the last
   Slot link;              // see CellLinks
   std::uint32_t started;  // its lower 32 bits
   std::uint16_t started_high;
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-struct Table::Body {
+struct EndpointTable::Body {
   struct IdLinks {
     Body& body;
     Slot& next(Slot slot) const { return body.records[slot].next_id; }
@@ -67,14 +67,14 @@
     std::uint64_t hash(Slot slot) const { return hash_of(body.cell_of(slot)); }
   };
 
-  PiecedArray<Record> records;
-  PiecedArray<Extra> extras;
+  ChunkedArray<Record> records;
+  ChunkedArray<Extra> extras;
   HashIndex<IdLinks> ids;
   HashIndex<CellLinks> cells;
-  Texts texts;
-  Labels labels;
-  Slot free_record = kNone;
-  std::uint32_t free_extra = kNone;  // the next one is in the Extra's address.scope
+  StringPool texts;
+  ZoneKindPool labels;
+  Slot free_record = kNoSlot;
+  std::uint32_t free_extra = kNoSlot;  // the next one is in the Extra's address.scope
 
   std::uint64_t cell_of(Slot slot) const {
     const Record& record = records[slot];
@@ -98,14 +98,14 @@
 
   void join(std::uint64_t cell, Slot slot) {
     Record& record = records[slot];
-    record.next = kNone;
+    record.next = kNoSlot;
     const Slot first = first_of(cell);
-    if (first == kNone) return cells.insert(slot, hash_of(cell), CellLinks{*this});
+    if (first == kNoSlot) return cells.insert(slot, hash_of(cell), CellLinks{*this});
     const Slot second = records[first].next;
-    const Slot last = second == kNone ? first : records[second].link;
+    const Slot last = second == kNoSlot ? first : records[second].link;
     records[last].next = slot;
-    record.link = second == kNone ? slot : last;
-    if (second != kNone) records[second].link = slot;
+    record.link = second == kNoSlot ? slot : last;
+    if (second != kNoSlot) records[second].link = slot;
   }
 
   void leave(std::uint64_t cell, Slot slot) {
@@ -113,17 +113,17 @@
     const Slot second = records[first].next;
     const Slot next = records[slot].next;
     if (slot == first) {
-      if (second == kNone) return cells.erase(slot, hash_of(cell), CellLinks{*this});
+      if (second == kNoSlot) return cells.erase(slot, hash_of(cell), CellLinks{*this});
       const Slot last = records[second].link;
       cells.replace(first, second, hash_of(cell), CellLinks{*this});
-      if (records[second].next != kNone) records[records[second].next].link = last;
+      if (records[second].next != kNoSlot) records[records[second].next].link = last;
     } else if (slot == second) {
       records[first].next = next;
-      if (next != kNone) records[next].link = records[second].link;
+      if (next != kNoSlot) records[next].link = records[second].link;
     } else {
       const Slot before = records[slot].link;
       records[before].next = next;
-      if (next == kNone) {
+      if (next == kNoSlot) {
         records[second].link = before;
       } else {
         records[next].link = before;
@@ -132,7 +132,7 @@
   }
 
   Slot new_record() {
-    if (free_record == kNone) {
+    if (free_record == kNoSlot) {
       records.push_back({});
       return static_cast<Slot>(records.size() - 1);
     }
@@ -142,7 +142,7 @@
   }
 
   std::uint32_t new_extra() {
-    if (free_extra == kNone) {
+    if (free_extra == kNoSlot) {
       extras.push_back({});
       return static_cast<std::uint32_t>(extras.size() - 1);
     }
@@ -182,37 +182,37 @@
     extras.clear();
     ids.clear();
     cells.clear();
-    free_record = free_extra = kNone;
+    free_record = free_extra = kNoSlot;
   }
 
   void tidy() {
-    texts.tidy(kTidied, [this](std::string_view text, Texts::Place place) -> Texts::Place* {
+    texts.tidy(kTidied, [this](std::string_view text, StringPool::Offset place) -> StringPool::Offset* {
       const Slot slot = find(text, hash_of(text));
-      return slot != kNone && records[slot].text == place ? &records[slot].text : nullptr;
+      return slot != kNoSlot && records[slot].text == place ? &records[slot].text : nullptr;
     });
   }
 };
 
-Table::Table() : body_(std::make_unique<Body>()) {}
-Table::~Table() = default;
-Table::Table(Table&&) noexcept = default;
-Table& Table::operator=(Table&&) noexcept = default;
+EndpointTable::EndpointTable() : body_(std::make_unique<Body>()) {}
+EndpointTable::~EndpointTable() = default;
+EndpointTable::EndpointTable(EndpointTable&&) noexcept = default;
+EndpointTable& EndpointTable::operator=(EndpointTable&&) noexcept = default;
 
-std::optional<Slot> Table::find(std::string_view id) const {
+std::optional<Slot> EndpointTable::find(std::string_view id) const {
   const Slot slot = body_->find(id, hash_of(id));
-  return slot == kNone ? std::nullopt : std::optional(slot);
+  return slot == kNoSlot ? std::nullopt : std::optional(slot);
 }
 
-bool Table::holds(Slot slot) const { return body_->records[slot].used; }
+bool EndpointTable::holds(Slot slot) const { return body_->records[slot].used; }
 
-Entry Table::at(Slot slot) const {
+Entry EndpointTable::at(Slot slot) const {
   const Record& record = body_->records[slot];
-  const Labels::Label& label = body_->labels.at(record.label);
+  const ZoneKindPool::Label& label = body_->labels.at(record.label);
   Entry entry;
   entry.id = body_->texts.at(record.text);
   entry.zone = label.zone;
   entry.kind = label.kind;
-  entry.state = static_cast<State>(record.state);
+  entry.state = static_cast<EndpointState>(record.state);
   if (record.extra) {
     const Extra& extra = body_->extras[record.address];
     entry.address = extra.address;
@@ -229,31 +229,31 @@
   return entry;
 }
 
-void Table::of_cell(std::uint64_t cell, std::vector<Slot>& out) const {
+void EndpointTable::slots_of_cell(std::uint64_t cell, std::vector<Slot>& out) const {
   out.clear();
-  for (Slot at = body_->first_of(cell); at != kNone; at = body_->records[at].next) out.push_back(at);
+  for (Slot at = body_->first_of(cell); at != kNoSlot; at = body_->records[at].next) out.push_back(at);
 }
 
-bool Table::serves(std::uint64_t cell) const { return body_->first_of(cell) != kNone; }
-std::size_t Table::cells() const { return body_->cells.size(); }
-std::size_t Table::size() const { return body_->ids.size(); }
-Slot Table::slots() const { return static_cast<Slot>(body_->records.size()); }
+bool EndpointTable::has_cell(std::uint64_t cell) const { return body_->first_of(cell) != kNoSlot; }
+std::size_t EndpointTable::cell_count() const { return body_->cells.size(); }
+std::size_t EndpointTable::size() const { return body_->ids.size(); }
+Slot EndpointTable::slot_end() const { return static_cast<Slot>(body_->records.size()); }
 
-std::size_t Table::bytes() const {
+std::size_t EndpointTable::bytes() const {
   const Body& b = *body_;
   return b.records.bytes() + b.extras.bytes() + b.ids.bytes() + b.cells.bytes() + b.texts.bytes() +
          b.labels.bytes();
 }
 
-std::optional<Slot> Table::put(const Entry& entry) {
+std::optional<Slot> EndpointTable::put(const Entry& entry) {
   Body& b = *body_;
-  if (entry.id.empty() || entry.id.size() > kMostText) return std::nullopt;
-  if (entry.zone.size() > kMostText || entry.kind.size() > kMostText) return std::nullopt;
+  if (entry.id.empty() || entry.id.size() > kMaxTextBytes) return std::nullopt;
+  if (entry.zone.size() > kMaxTextBytes || entry.kind.size() > kMaxTextBytes) return std::nullopt;
   const auto label = b.labels.take(entry.zone, entry.kind);
   if (!label) return std::nullopt;
   const std::uint64_t hash = hash_of(entry.id);
   Slot slot = b.find(entry.id, hash);
-  const bool known = slot != kNone;
+  const bool known = slot != kNoSlot;
   if (known) {
     // The old label goes last: the entry may look at its texts.
     const std::uint16_t old = std::exchange(b.records[slot].label, *label);
@@ -264,7 +264,7 @@
     if (from != to) b.join(to, slot);
     b.labels.give_back(old);
   } else {
-    const Texts::Place text = b.texts.add(entry.id);
+    const StringPool::Offset text = b.texts.add(entry.id);
     slot = b.new_record();
     Record& record = b.records[slot];
     record = {};
@@ -280,11 +280,11 @@
   return slot;
 }
 
-bool Table::erase(std::string_view id) {
+bool EndpointTable::erase(std::string_view id) {
   Body& b = *body_;
   const std::uint64_t hash = hash_of(id);
   const Slot slot = b.find(id, hash);
-  if (slot == kNone) return false;
+  if (slot == kNoSlot) return false;
   Record& record = b.records[slot];
   b.leave(b.cell_of(slot), slot);
   b.ids.erase(slot, hash, {b});
@@ -297,20 +297,20 @@
   return true;
 }
 
-bool Table::release(std::size_t most) {
+bool EndpointTable::release_memory(std::size_t most) {
   Body& b = *body_;
   b.reset();
   bool left = true;
-  for (std::size_t given = 0; left && (given == 0 || given + kPieceBytes <= most); given += kPieceBytes) {
-    left = b.records.release_piece() || b.texts.release_piece() || b.ids.release_piece() ||
-           b.cells.release_piece() || b.extras.release_piece();
+  for (std::size_t given = 0; left && (given == 0 || given + kChunkBytes <= most); given += kChunkBytes) {
+    left = b.records.release_chunk() || b.texts.release_chunk() || b.ids.release_chunk() ||
+           b.cells.release_chunk() || b.extras.release_chunk();
   }
   if (left) return false;
   b.labels.clear();
   return true;
 }
 
-void Table::clear() {
+void EndpointTable::clear() {
   body_->reset();
   body_->texts.clear();
   body_->labels.clear();
--- a/catalog/entry.h
+++ b/catalog/entry.h
@@ -21,7 +21,7 @@
 // "address:port", by the rules of boost::asio::ip::make_address; none: it is no such text.
 std::optional<Address> parse_address(std::string_view text);
 
-enum class State : std::uint8_t { serving, draining, deleted };  // deleted: only among changes
+enum class EndpointState : std::uint8_t { serving, draining, deleted };  // deleted: only among changes
 
 // The texts belong to whoever made the entry: one that a table gives is good until that table's next change.
 struct Entry {
@@ -30,11 +30,11 @@
   std::uint64_t cell = 0;  // the destination; 0 for one that doesn't serve and names none
   double weight = 1;
   std::int64_t started_ms = 0;  // Unix time of the endpoint's last start; 0: long ago
-  State state = State::serving;
+  EndpointState state = EndpointState::serving;
 
   friend bool operator==(const Entry&, const Entry&) = default;
 };
 
-constexpr std::size_t kMostText = 1024;  // bytes of an id, a zone, a kind; longer ones are refused (ours)
+constexpr std::size_t kMaxTextBytes = 1024;  // bytes of an id, a zone, a kind; longer ones are refused (ours)
 
 }  // namespace valedrum::catalog
--- a/catalog/hash_index.h
+++ b/catalog/hash_index.h
@@ -5,12 +5,12 @@
 #include <bit>
 #include <cstdint>
 
-#include "piece.h"
+#include "memory_chunk.h"
 
 namespace valedrum::catalog {
 
 using Slot = std::uint32_t;
-constexpr Slot kNone = ~Slot{0};
+constexpr Slot kNoSlot = ~Slot{0};
 
 // Links: `Slot& next(Slot)`, where a record keeps the next of its chain, and `std::uint64_t hash(Slot)`.
 template <class Links>
@@ -19,9 +19,9 @@
   // The first in the chain of `hash` for which equal(slot) is true.
   template <class Equal>
   Slot find(std::uint64_t hash, Links links, Equal&& equal) const {
-    if (heads_.size() == 0) return kNone;
+    if (heads_.size() == 0) return kNoSlot;
     Slot at = heads_[bucket(hash)];
-    while (at != kNone && !equal(at)) at = links.next(at);
+    while (at != kNoSlot && !equal(at)) at = links.next(at);
     return at;
   }
 
@@ -44,12 +44,12 @@
 
   std::size_t size() const { return count_; }
   std::size_t bytes() const { return heads_.bytes(); }
-  std::size_t pieces() const { return heads_.pieces(); }
+  std::size_t chunk_count() const { return heads_.chunk_count(); }
   void clear() {
     heads_.clear();
     count_ = 0;
   }
-  bool release_piece() { return heads_.release_piece(); }
+  bool release_chunk() { return heads_.release_chunk(); }
 
  private:
   static constexpr std::size_t kMostLoad = 2;  // records a bucket: four bytes of heads for two records (ours)
@@ -74,12 +74,12 @@
 
   // One bucket more: what belongs there now leaves the one that had it.
   void split(Links links) {
-    heads_.push_back(kNone);
+    heads_.push_back(kNoSlot);
     const std::size_t added = heads_.size() - 1;
     if (added == 0) return;
     const std::size_t from = added - std::bit_floor(added);
-    Slot at = std::exchange(heads_[from], kNone);
-    while (at != kNone) {
+    Slot at = std::exchange(heads_[from], kNoSlot);
+    while (at != kNoSlot) {
       const Slot next = links.next(at);
       push(bucket(links.hash(at)), at, links);
       at = next;
@@ -91,14 +91,14 @@
     const std::size_t last = heads_.size() - 1;
     Slot at = heads_[last];
     heads_.pop_back();
-    while (at != kNone) {
+    while (at != kNoSlot) {
       const Slot next = links.next(at);
       push(last - std::bit_floor(last), at, links);
       at = next;
     }
   }
 
-  PiecedArray<Slot> heads_;
+  ChunkedArray<Slot> heads_;
   std::size_t count_ = 0;
 };
 
--- a/catalog/list_reader.cpp
+++ b/catalog/list_reader.cpp
@@ -12,10 +12,10 @@
 namespace json = boost::json;
 using boost::system::error_code;
 
-std::optional<State> parse_state(std::string_view text) {
-  if (text == "SERVING") return State::serving;
-  if (text == "DRAINING") return State::draining;
-  if (text == "DELETED") return State::deleted;
+std::optional<EndpointState> parse_state(std::string_view text) {
+  if (text == "SERVING") return EndpointState::serving;
+  if (text == "DRAINING") return EndpointState::draining;
+  if (text == "DELETED") return EndpointState::deleted;
   return std::nullopt;
 }
 
@@ -30,7 +30,7 @@
 // What a field of an entry has said last.
 struct Field {
   std::string text;       // empty: no text
-  bool overlong = false;  // over kMostText, of which only the beginning is kept
+  bool overlong = false;  // over kMaxTextBytes, of which only the beginning is kept
   bool present = false;
   json::value other;  // a number; null: neither that nor a text
 
@@ -44,12 +44,12 @@
 // The events of the parser, and what the list has said so far.
 class Handler {
  public:
-  static constexpr std::size_t max_array_size = Bounds::kEntries;
-  static constexpr std::size_t max_object_size = Bounds::kFields;
-  static constexpr std::size_t max_string_size = Bounds::kText;
-  static constexpr std::size_t max_key_size = Bounds::kText;
+  static constexpr std::size_t max_array_size = ListLimits::kMaxElements;
+  static constexpr std::size_t max_object_size = ListLimits::kMaxFields;
+  static constexpr std::size_t max_string_size = ListLimits::kMaxStringBytes;
+  static constexpr std::size_t max_key_size = ListLimits::kMaxStringBytes;
 
-  Table table;
+  EndpointTable table;
   std::int64_t version = 0;
   bool full = false;
   std::string why;  // of a failure that is not the parser's
@@ -63,7 +63,7 @@
     deleted_ = 0;
     why.clear();
     if (table.bytes() > kKept) {
-      table = Table();
+      table = EndpointTable();
     } else {
       table.clear();
     }
@@ -97,8 +97,8 @@
     if (!field()) return true;
     if (s.size() == n) field()->forget();
     std::string& text = field()->text;
-    text.append(s.substr(0, kMostText - text.size()));
-    field()->overlong = n > kMostText;
+    text.append(s.substr(0, kMaxTextBytes - text.size()));
+    field()->overlong = n > kMaxTextBytes;
     return true;
   }
 
@@ -210,7 +210,7 @@
       const auto cell = number<std::uint64_t>(fields_[kCell].other);
       if (!cell) return true;
       entry.cell = *cell;
-    } else if (entry.state == State::serving) {
+    } else if (entry.state == EndpointState::serving) {
       return true;
     }
     if (fields_[kWeight].present) {
@@ -219,7 +219,7 @@
       entry.weight = *weight;
     }
     entry.started_ms = number<std::int64_t>(fields_[kStarted].other).value_or(0);
-    if (entry.state != State::deleted) {
+    if (entry.state != EndpointState::deleted) {
       const auto address = parse_address(fields_[kAddr].text);
       if (!address || fields_[kAddr].overlong) return true;
       entry.address = *address;
@@ -230,17 +230,17 @@
       ++deleted_;
     }
     if (!table.put(entry)) return fail("too many pairs of zone and kind", ec);
-    return table.bytes() <= Bounds::kBytes || fail("too much for the memory", ec);
+    return table.bytes() <= ListLimits::kMaxStagedBytes || fail("too much for the memory", ec);
   }
 
   bool finish(error_code& ec) {
     if (!servers_) return fail("servers: not a list", ec);
     if (!full || deleted_ == 0) return true;
-    if (deleted_ > Bounds::kDeletedBefore) return fail("a whole list of deleted endpoints", ec);
-    for (Slot slot = 0; slot < table.slots(); ++slot) {
+    if (deleted_ > ListLimits::kMaxDeletedBeforeFull) return fail("a whole list of deleted endpoints", ec);
+    for (Slot slot = 0; slot < table.slot_end(); ++slot) {
       std::string gone;
       table.for_each(slot, 1, [&](Slot, const Entry& entry) {
-        if (entry.state == State::deleted) gone = entry.id;
+        if (entry.state == EndpointState::deleted) gone = entry.id;
       });
       if (!gone.empty()) table.erase(gone);
     }
@@ -259,7 +259,7 @@
 
 json::parse_options options() {
   json::parse_options chosen;
-  chosen.max_depth = Bounds::kDepth;
+  chosen.max_depth = ListLimits::kMaxDepth;
   return chosen;
 }
 
@@ -267,7 +267,7 @@
 
 struct ListReader::Body {
   json::basic_parser<Handler> parser{options()};
-  Status status = Status::more;
+  Status status = Status::needs_more;
   std::uint64_t taken = 0;
   error_code error;
 
@@ -282,23 +282,23 @@
 ListReader::Status ListReader::feed(std::string_view& bytes, std::size_t most) {
   Body& b = *body_;
   const std::string_view piece = bytes.substr(0, most);
-  if (b.status != Status::more || piece.empty()) return b.status;
+  if (b.status != Status::needs_more || piece.empty()) return b.status;
   const std::size_t taken = b.parser.write_some(true, piece.data(), piece.size(), b.error);
   bytes.remove_prefix(taken);
   b.taken += taken;
   if (b.error) {
-    b.status = Status::bad;
+    b.status = Status::invalid;
   } else if (b.parser.done()) {
-    b.status = Status::whole;
+    b.status = Status::complete;
   }
   return b.status;
 }
 
 ListReader::Status ListReader::status() const { return body_->status; }
-std::uint64_t ListReader::taken() const { return body_->taken; }
+std::uint64_t ListReader::bytes_consumed() const { return body_->taken; }
 
 std::string ListReader::error() const {
-  if (body_->status != Status::bad) return {};
+  if (body_->status != Status::invalid) return {};
   const std::string& why = body_->list().why;
   return "list of endpoints, before byte " + std::to_string(body_->taken) + ": " +
          (why.empty() ? body_->error.message() : why);
@@ -306,13 +306,13 @@
 
 std::int64_t ListReader::version() const { return body_->list().version; }
 bool ListReader::full() const { return body_->list().full; }
-const Table& ListReader::entries() const { return body_->list().table; }
-Table ListReader::take_entries() { return std::exchange(body_->list().table, Table()); }
+const EndpointTable& ListReader::entries() const { return body_->list().table; }
+EndpointTable ListReader::take_entries() { return std::exchange(body_->list().table, EndpointTable()); }
 
-void ListReader::next() {
+void ListReader::reset() {
   body_->parser.reset();
   body_->list().restart();
-  body_->status = Status::more;
+  body_->status = Status::needs_more;
   body_->taken = 0;
   body_->error = {};
 }
--- a/catalog/texts.cpp
+++ b/catalog/string_pool.cpp
@@ -1,18 +1,18 @@
-#include "texts.h"
+#include "string_pool.h"
 
 #include <cstring>
 #include <stdexcept>
 
 namespace valedrum::catalog {
 
-Texts::Place Texts::add(std::string_view text) {
+StringPool::Offset StringPool::add(std::string_view text) {
   const std::uint32_t length = stored(text.size());
-  if (open_ == kNoPart || parts_[open_].filled + length > kPieceBytes) {
-    Piece piece = make_piece();
+  if (open_ == kNoPart || parts_[open_].filled + length > kChunkBytes) {
+    MemoryChunk piece = allocate_chunk();
     const std::uint32_t full = open_;
     if (free_.empty()) {
       // A place has 32 bits: 65,536 pieces of 64 KB.
-      if (parts_.size() > ~Place{0} / kPieceBytes) throw std::length_error("catalog: over 4 GB of ids");
+      if (parts_.size() > ~Offset{0} / kChunkBytes) throw std::length_error("catalog: over 4 GB of ids");
       open_ = static_cast<std::uint32_t>(parts_.size());
       parts_.emplace_back();
     } else {
@@ -24,7 +24,7 @@
     if (full != kNoPart) look(full);
   }
   Part& part = parts_[open_];
-  const Place place = static_cast<Place>(open_ * kPieceBytes + part.filled);
+  const Offset place = static_cast<Offset>(open_ * kChunkBytes + part.filled);
   std::byte* to = part.piece.get() + part.filled;
   if (text.size() < 128) {
     *to++ = static_cast<std::byte>(text.size());
@@ -38,20 +38,20 @@
   return place;
 }
 
-std::string_view Texts::at(Place place) const {
-  const std::byte* from = parts_[place / kPieceBytes].piece.get() + place % kPieceBytes;
+std::string_view StringPool::at(Offset place) const {
+  const std::byte* from = parts_[place / kChunkBytes].piece.get() + place % kChunkBytes;
   std::size_t length = static_cast<std::size_t>(*from++);
   if (length >= 128) length = (length & 0x7f) << 8 | static_cast<std::size_t>(*from++);
   return {reinterpret_cast<const char*>(from), length};
 }
 
-void Texts::drop(Place place) {
-  const auto part = static_cast<std::uint32_t>(place / kPieceBytes);
+void StringPool::drop(Offset place) {
+  const auto part = static_cast<std::uint32_t>(place / kChunkBytes);
   parts_[part].live -= stored(at(place).size());
   look(part);
 }
 
-void Texts::look(std::uint32_t number) {
+void StringPool::look(std::uint32_t number) {
   Part& part = parts_[number];
   if (number == open_ || part.sparse || part.live >= part.filled / 3 * 2) return;
   part.sparse = true;
@@ -59,7 +59,7 @@
 }
 
 // True: there is a text to look at, at next_ of the victim.
-bool Texts::choose() {
+bool StringPool::choose() {
   for (;;) {
     if (victim_ != kNoPart) {
       Part& part = parts_[victim_];
@@ -76,13 +76,13 @@
   }
 }
 
-std::size_t Texts::bytes() const {
-  const std::size_t full = held_ > 0 ? (held_ - 1) * kPieceBytes + resident(parts_[open_].filled) : 0;
+std::size_t StringPool::bytes() const {
+  const std::size_t full = held_ > 0 ? (held_ - 1) * kChunkBytes + resident(parts_[open_].filled) : 0;
   return full + parts_.capacity() * sizeof(Part) +
          (free_.capacity() + sparse_.capacity()) * sizeof(std::uint32_t);
 }
 
-void Texts::clear() {
+void StringPool::clear() {
   while (parts_.size() > 1) parts_.pop_back();
   free_.clear();
   sparse_.clear();
@@ -90,13 +90,13 @@
   held_ = 0;
   open_ = kNoPart;
   if (parts_.empty()) return;
-  if (!parts_[0].piece) parts_[0].piece = make_piece();
+  if (!parts_[0].piece) parts_[0].piece = allocate_chunk();
   parts_[0] = {std::move(parts_[0].piece), 0, 0, false};
   open_ = 0;
   held_ = 1;
 }
 
-bool Texts::release_piece() {
+bool StringPool::release_chunk() {
   free_.clear();
   sparse_.clear();
   victim_ = open_ = kNoPart;
--- a/catalog/texts.h
+++ b/catalog/string_pool.h
@@ -6,27 +6,27 @@
 #include <string_view>
 #include <vector>
 
-#include "piece.h"
+#include "memory_chunk.h"
 
 namespace valedrum::catalog {
 
-class Texts {
+class StringPool {
  public:
-  using Place = std::uint32_t;
+  using Offset = std::uint32_t;
 
-  Place add(std::string_view text);  // at most kMostText bytes
-  std::string_view at(Place place) const;
-  void drop(Place place);
+  Offset add(std::string_view text);  // at most kMaxTextBytes bytes
+  std::string_view at(Offset place) const;
+  void drop(Offset place);
 
   // Looks through at most `most` texts of pieces with holes. `owner(text, place)` gives where the place of
   // the text is kept, or none for one that has been dropped; it is set to the new place.
   template <class Owner>
   void tidy(std::size_t most, Owner&& owner) {
     for (; most > 0 && choose(); --most) {
-      const Place place = victim_ * kPieceBytes + next_;
+      const Offset place = victim_ * kChunkBytes + next_;
       const std::string_view text = at(place);
       next_ += stored(text.size());
-      if (Place* const kept = owner(text, place)) {
+      if (Offset* const kept = owner(text, place)) {
         *kept = add(text);
         drop(place);
       }
@@ -34,13 +34,13 @@
   }
 
   std::size_t bytes() const;
-  std::size_t pieces() const { return parts_.size(); }
+  std::size_t chunk_count() const { return parts_.size(); }
   void clear();
-  bool release_piece();
+  bool release_chunk();
 
  private:
   struct Part {
-    Piece piece;
+    MemoryChunk piece;
     std::uint32_t filled = 0;
     std::uint32_t live = 0;  // bytes of texts that have not been dropped
     bool sparse = false;     // waits in sparse_, or is being emptied
--- a/catalog/labels.cpp
+++ b/catalog/zone_kind_pool.cpp
@@ -1,13 +1,13 @@
-#include "labels.h"
+#include "zone_kind_pool.h"
 
 namespace valedrum::catalog {
 
-std::size_t Labels::weigh(const Label& label) {
+std::size_t ZoneKindPool::weigh(const Label& label) {
   constexpr std::size_t kNode = 80;  // of the map
   return sizeof(Label) + kNode + label.zone.capacity() + label.kind.capacity();
 }
 
-std::optional<std::uint16_t> Labels::take(std::string_view zone, std::string_view kind) {
+std::optional<std::uint16_t> ZoneKindPool::take(std::string_view zone, std::string_view kind) {
   if (last_ < all_.size() && all_[last_].uses > 0 && all_[last_].zone == zone && all_[last_].kind == kind) {
     ++all_[last_].uses;
     return last_;
@@ -31,7 +31,7 @@
   return last_;
 }
 
-void Labels::give_back(std::uint16_t number) {
+void ZoneKindPool::give_back(std::uint16_t number) {
   Label& label = all_[number];
   if (--label.uses > 0) return;
   bytes_ -= weigh(label);
@@ -40,6 +40,6 @@
   free_.push_back(number);
 }
 
-void Labels::clear() { *this = {}; }
+void ZoneKindPool::clear() { *this = {}; }
 
 }  // namespace valedrum::catalog
--- a/catalog/labels.h
+++ b/catalog/zone_kind_pool.h
@@ -12,7 +12,7 @@
 
 namespace valedrum::catalog {
 
-class Labels {
+class ZoneKindPool {
  public:
   struct Label {
     std::string zone, kind;
--- a/common/command_line.cpp
+++ b/common/command_line.cpp
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-std::string markdown(const CLI::App& app) {
+std::string markdown_reference(const CLI::App& app) {
   std::ostringstream out;
   out << "## " << app.get_name() << "\n\n" << app.get_description() << "\n\n";
   options(app, out);
@@ -66,7 +66,7 @@
   return out.str();
 }
 
-std::string completion(const CLI::App& app) {
+std::string bash_completion(const CLI::App& app) {
   std::ostringstream out;
   const std::string& name = app.get_name();
   out << "_" << name << "() {\n  local words\n  case \"${COMP_WORDS[1]}\" in\n";
@@ -93,18 +93,18 @@
   try {
     app.parse(argc, argv);
     if (page) {
-      std::cout << markdown(app);
+      std::cout << markdown_reference(app);
     } else if (complete) {
-      std::cout << completion(app);
+      std::cout << bash_completion(app);
     } else if (app.get_subcommands().empty()) {
       throw CLI::RequiredError("A subcommand");
     }
     return status;
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadUsage;
+    return app.exit(e) == 0 ? 0 : kExitUsageError;
   } catch (const std::exception& e) {
     std::cerr << app.get_name() << ": " << e.what() << '\n';
-    return kBadUsage;
+    return kExitUsageError;
   }
 }
 
--- a/common/command_line.h
+++ b/common/command_line.h
@@ -6,18 +6,18 @@
 
 namespace valedrum {
 
-inline constexpr int kBadUsage = 2;
+inline constexpr int kExitUsageError = 2;
 
 // Parses, and runs the subcommand that was asked for. Returns the status to exit with: that of help and of
-// what the subcommand set in `status`, or kBadUsage with one line on standard error, also for an exception
-// that a subcommand throws. `--markdown` and `--completion` print the program's page and its completion for
-// bash.
+// what the subcommand set in `status`, or kExitUsageError with one line on standard error, also for an
+// exception that a subcommand throws. `--markdown` and `--completion` print the program's page and its
+// completion for bash.
 int run_command_line(CLI::App& app, int argc, const char* const* argv, const int& status);
 
 // The program's page: every command with its options, as `--help` has them.
-std::string markdown(const CLI::App& app);
+std::string markdown_reference(const CLI::App& app);
 
 // Completion of commands and options for bash.
-std::string completion(const CLI::App& app);
+std::string bash_completion(const CLI::App& app);
 
 }  // namespace valedrum
--- a/common/bytes.h
+++ b/common/record_codec.h
@@ -13,7 +13,7 @@
 
 namespace myrtlegrade {
 
-constexpr std::size_t kRecordHeader = 8;  // length and checksum, four bytes each
+constexpr std::size_t kRecordHeaderBytes = 8;  // length and checksum, four bytes each
 
 inline std::uint32_t checksum(std::string_view payload) {
   boost::crc_32_type crc;
@@ -21,30 +21,32 @@
   return crc.checksum();
 }
 
-class Writer {
+class RecordWriter {
  public:
   template <typename Kind>
-  explicit Writer(Kind kind) {
+  explicit RecordWriter(Kind kind) {
     bytes_ += static_cast<char>(kind);
   }
-  Writer& number(std::uint64_t value) {
+  RecordWriter& number(std::uint64_t value) {
     std::array<char, sizeof value> part;
     for (std::size_t i = 0; i < part.size(); ++i) part[i] = static_cast<char>(value >> 8 * i & 0xff);
     bytes_.append(part.data(), part.size());
     return *this;
   }
-  Writer& real(double value) { return number(std::bit_cast<std::uint64_t>(value)); }
-  Writer& flag(bool value) { return number(value ? 1 : 0); }
-  Writer& text(std::string_view value) {
+  RecordWriter& real(double value) { return number(std::bit_cast<std::uint64_t>(value)); }
+  RecordWriter& flag(bool value) { return number(value ? 1 : 0); }
+  RecordWriter& text(std::string_view value) {
     number(value.size());
     bytes_ += value;
     return *this;
   }
   template <typename Point>
-  Writer& time(Point value) {
-    return span(value.time_since_epoch());
+  RecordWriter& time(Point value) {
+    return duration(value.time_since_epoch());
+  }
+  RecordWriter& duration(std::chrono::microseconds value) {
+    return number(static_cast<std::uint64_t>(value.count()));
   }
-  Writer& span(std::chrono::microseconds value) { return number(static_cast<std::uint64_t>(value.count())); }
 
   std::string record() const {
     std::string result;
@@ -58,10 +60,10 @@
   std::string bytes_;
 };
 
-// Reads what Writer wrote; `good` turns false, for all that follows, where the bytes run out.
-class Reader {
+// Reads what RecordWriter wrote; `good` turns false, for all that follows, where the bytes run out.
+class RecordReader {
  public:
-  explicit Reader(std::string_view bytes) : rest_(bytes) {}
+  explicit RecordReader(std::string_view bytes) : rest_(bytes) {}
   template <typename Kind>
   Kind kind() {
     return static_cast<Kind>(number(1));
@@ -79,9 +81,11 @@
   std::string text() { return std::string(take(number())); }
   template <typename Point>
   Point time() {
-    return Point(span());
+    return Point(duration());
+  }
+  std::chrono::microseconds duration() {
+    return std::chrono::microseconds(static_cast<std::int64_t>(number()));
   }
-  std::chrono::microseconds span() { return std::chrono::microseconds(static_cast<std::int64_t>(number())); }
   // How many entries follow: never more than bytes that could hold them.
   std::size_t count() {
     const std::uint64_t n = number();
--- a/copies/codec.cpp
+++ b/copies/codec.cpp
@@ -3,8 +3,8 @@
 namespace valedrum::copies {
 namespace {
 
-using myrtlegrade::Reader;
-using myrtlegrade::Writer;
+using myrtlegrade::RecordReader;
+using myrtlegrade::RecordWriter;
 
 constexpr std::size_t kMostWords = 1 << 12;
 constexpr std::size_t kMostItems = 1 << 16;
@@ -12,23 +12,25 @@
 
 enum class Tag : std::uint8_t { frame = kFormat, published = kFormat };
 
-void write(Writer& out, const GroupId& id) { out.text(id.origin).number(id.number); }
+void write(RecordWriter& out, const GroupId& id) { out.text(id.origin).number(id.number); }
 
-GroupId read_id(Reader& in) {
+GroupId read_id(RecordReader& in) {
   GroupId id;
   id.origin = in.text();
   id.number = in.number();
   return id;
 }
 
-void write(Writer& out, const membership::Address& a) { out.number(std::uint64_t{a.ip} << 16 | a.port); }
+void write(RecordWriter& out, const membership::Address& a) {
+  out.number(std::uint64_t{a.ip} << 16 | a.port);
+}
 
-membership::Address read_address(Reader& in) {
+membership::Address read_address(RecordReader& in) {
   const std::uint64_t n = in.number();
   return {static_cast<std::uint32_t>(n >> 16), static_cast<std::uint16_t>(n & 0xffff)};
 }
 
-void write(Writer& out, const Head& head) {
+void write(RecordWriter& out, const Head& head) {
   out.number(head.copies);
   for (const Seat& s : head.seats) {
     out.text(s.name).number(s.life);
@@ -36,7 +38,7 @@
   }
 }
 
-Head read_head(Reader& in) {
+Head read_head(RecordReader& in) {
   Head head;
   head.copies = static_cast<unsigned>(in.number());
   for (Seat& s : head.seats) {
@@ -49,21 +51,25 @@
 }
 
 // Times as the distance from `zero`.
-void write(Writer& out, const Item& item, Time zero) {
+void write(RecordWriter& out, const Item& item, Time zero) {
   out.number(item.stamp.epoch).number(item.stamp.revision);
   out.number((item.over ? 1 : 0) + (item.payload ? 2 : 0) + (item.owed ? 4 : 0));
   if (item.payload) {
     const Payload& p = *item.payload;
     out.text(p.id).text(p.cls).text(p.key).text(p.body).number(p.destination).flag(p.once);
   }
-  if (item.owed) out.flag(item.owed->handed_back).span(item.owed->retry_in);
-  out.span(item.until - zero).number(item.attempts.size());
+  if (item.owed) out.flag(item.owed->handed_back).duration(item.owed->retry_in);
+  out.duration(item.until - zero).number(item.attempts.size());
   for (const Attempt& a : item.attempts) {
-    out.text(a.host).text(a.zone).span(a.sent - zero).number(a.by).number(static_cast<std::uint64_t>(a.fate));
+    out.text(a.host)
+        .text(a.zone)
+        .duration(a.sent - zero)
+        .number(a.by)
+        .number(static_cast<std::uint64_t>(a.fate));
   }
 }
 
-Item read_item(Reader& in, Time zero) {
+Item read_item(RecordReader& in, Time zero) {
   Item item;
   item.stamp.epoch = in.number();
   item.stamp.revision = in.number();
@@ -82,17 +88,17 @@
   if ((flags & 4) != 0) {
     Owed owed;
     owed.handed_back = in.flag();
-    owed.retry_in = in.span();
+    owed.retry_in = in.duration();
     item.owed = owed;
   }
-  item.until = zero + in.span();
+  item.until = zero + in.duration();
   const std::size_t attempts = in.count();
   in.good = in.good && attempts <= kMostAttempts && flags < 8;
   for (std::size_t i = 0; in.good && i < attempts; ++i) {
     Attempt a;
     a.host = in.text();
     a.zone = in.text();
-    a.sent = zero + in.span();
+    a.sent = zero + in.duration();
     const std::uint64_t by = in.number(), fate = in.number();
     in.good = in.good && by < kVoters && fate <= static_cast<std::uint64_t>(Fate::may_have_run);
     a.by = static_cast<Place>(by);
@@ -102,7 +108,7 @@
   return item;
 }
 
-void write(Writer& out, const Say& s) {
+void write(RecordWriter& out, const Say& s) {
   out.number(static_cast<std::uint64_t>(s.kind)).number(s.from).number(s.epoch);
   out.time(s.at).time(s.echo).number(s.items.size());
   for (const auto& [id, item] : s.items) {
@@ -115,7 +121,7 @@
   }
 }
 
-Say read_say(Reader& in) {
+Say read_say(RecordReader& in) {
   Say s;
   const std::uint64_t kind = in.number(), from = in.number();
   s.epoch = in.number();
@@ -143,7 +149,7 @@
 }  // namespace
 
 std::string encode(const Frame& frame) {
-  Writer out(Tag::frame);
+  RecordWriter out(Tag::frame);
   out.flag(frame.no_room).number(frame.words.size());
   for (const Word& w : frame.words) {
     write(out, w.group);
@@ -155,7 +161,7 @@
 }
 
 std::optional<Frame> decode_frame(std::string_view bytes) {
-  Reader in(bytes);
+  RecordReader in(bytes);
   if (in.kind<Tag>() != Tag::frame) return std::nullopt;
   Frame frame;
   frame.no_room = in.flag();
@@ -173,17 +179,17 @@
 }
 
 std::string encode(const Published& p) {
-  Writer out(Tag::published);
+  RecordWriter out(Tag::published);
   write(out, p.address);
   out.number(p.life).number(p.room);
   return out.record();
 }
 
 std::optional<Published> decode_published(std::string_view bytes) {
-  Reader outer(bytes);
+  RecordReader outer(bytes);
   const auto payload = outer.record();
   if (!payload) return std::nullopt;
-  Reader in(*payload);
+  RecordReader in(*payload);
   if (in.kind<Tag>() != Tag::published) return std::nullopt;
   Published p;
   p.address = read_address(in);
@@ -194,24 +200,24 @@
 }
 
 std::string record_of_format(std::uint64_t life, std::string_view member) {
-  return Writer(RecordKind::format).number(kFormat).number(life).text(member).record();
+  return RecordWriter(RecordKind::format).number(kFormat).number(life).text(member).record();
 }
 
 std::string record_of(const GroupId& id, const Head& head, Place self) {
-  Writer out(RecordKind::group);
+  RecordWriter out(RecordKind::group);
   write(out, id);
   write(out, head);
   return out.number(self).record();
 }
 
 std::string record_of(const GroupId& id, std::uint64_t promised, Place owner) {
-  Writer out(RecordKind::promise);
+  RecordWriter out(RecordKind::promise);
   write(out, id);
   return out.number(promised).number(owner).record();
 }
 
 std::string record_of(const GroupId& id, const std::string& item_id, const Item& item, Duration wall) {
-  Writer out(RecordKind::item);
+  RecordWriter out(RecordKind::item);
   write(out, id);
   out.text(item_id);
   write(out, item, Time{} - wall);
@@ -219,33 +225,33 @@
 }
 
 std::string record_of_forgotten(const GroupId& id, const std::string& item_id) {
-  Writer out(RecordKind::forget_item);
+  RecordWriter out(RecordKind::forget_item);
   write(out, id);
   return out.text(item_id).record();
 }
 
 std::string record_of_dropped(const GroupId& id) {
-  Writer out(RecordKind::drop);
+  RecordWriter out(RecordKind::drop);
   write(out, id);
   return out.record();
 }
 
 std::string record_of_clock(std::uint64_t boot, Duration wall) {
-  return Writer(RecordKind::clock).number(boot).span(wall).record();
+  return RecordWriter(RecordKind::clock).number(boot).duration(wall).record();
 }
 
 std::string record_of_synced(std::uint64_t bytes) {
-  return Writer(RecordKind::synced).number(bytes).record();
+  return RecordWriter(RecordKind::synced).number(bytes).record();
 }
 
 namespace {
 
 // Whether a record behind what can't be read says that the file was synced beyond that.
 bool was_synced(std::string_view file, std::size_t beyond) {
-  for (std::size_t at = beyond; at + myrtlegrade::kRecordHeader < file.size(); ++at) {
-    const auto payload = Reader(file.substr(at)).record();
+  for (std::size_t at = beyond; at + myrtlegrade::kRecordHeaderBytes < file.size(); ++at) {
+    const auto payload = RecordReader(file.substr(at)).record();
     if (!payload || payload->empty()) continue;
-    Reader in(*payload);
+    RecordReader in(*payload);
     if (in.kind<RecordKind>() == RecordKind::synced && in.number() > beyond && in.good) return true;
   }
   return false;
@@ -253,7 +259,7 @@
 
 // One record into what was read before it. False: it can't be.
 bool take(Stored& all, std::string_view payload, Duration& wall, std::uint64_t boot) {
-  Reader in(payload);
+  RecordReader in(payload);
   const auto kind = in.kind<RecordKind>();
   if (kind == RecordKind::format) {
     all.later = in.number() > kFormat;
@@ -313,17 +319,18 @@
 // says how much of it was synced, lies beyond that; else it is damaged.
 Stored read_stored(std::string_view file, Duration wall, std::uint64_t boot) {
   Stored all;
-  Reader outer(file);
+  RecordReader outer(file);
   while (!outer.empty()) {
     const std::string_view rest = file.substr(all.bytes);
     const auto payload = outer.record();
     if (!payload || !take(all, *payload, wall, boot)) {
-      const bool cut = !payload && (rest.size() < myrtlegrade::kRecordHeader ||
-                                    rest.size() < myrtlegrade::kRecordHeader + Reader(rest).number(4));
+      const bool cut =
+          !payload && (rest.size() < myrtlegrade::kRecordHeaderBytes ||
+                       rest.size() < myrtlegrade::kRecordHeaderBytes + RecordReader(rest).number(4));
       all.damaged = !all.later && (all.marked ? was_synced(file, all.bytes) : !cut);
       break;
     }
-    all.bytes += myrtlegrade::kRecordHeader + payload->size();
+    all.bytes += myrtlegrade::kRecordHeaderBytes + payload->size();
   }
   return all;
 }
--- a/copies/codec.h
+++ b/copies/codec.h
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <vector>
 
-#include "bytes.h"
 #include "copies/group.h"
+#include "record_codec.h"
 
 namespace valedrum::copies {
 
--- a/lab/copies_world.cpp
+++ b/lab/copies_world.cpp
@@ -268,7 +268,7 @@
     at(arrives, [this, from, to, number = link.number, start = nodes_[to].start, frame = std::move(frame)] {
       if (links_[{from, to}].number != number || nodes_[to].start != start) return;
       run(to, [this, from, to, frame] {
-        myrtlegrade::Reader in(frame);
+        myrtlegrade::RecordReader in(frame);
         const auto decoded = copies::decode_frame(*in.record());
         nodes_[to].copies->receive(now_, name(from), *decoded);
         turn(to);
--- a/recovery/disk.cpp
+++ b/recovery/disk.cpp
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <system_error>
 
-#include "files.h"
+#include "file_io.h"
 
 namespace valedrum::recovery {
 
--- a/relay/call_ends.cpp
+++ b/relay/call_ends.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 std::string encode(const CallRecord& record) {
-  Writer out(record.kind);
+  RecordWriter out(record.kind);
   if (record.kind == CallRecord::Kind::outcome) {
     out.number(record.call).text(record.message).number(record.attempt);
     write_result(out, record.result);
@@ -25,7 +25,7 @@
 }
 
 std::optional<CallRecord> decode(std::string_view payload) {
-  Reader in(payload);
+  RecordReader in(payload);
   CallRecord record;
   record.kind = in.kind<CallRecord::Kind>();
   if (record.kind == CallRecord::Kind::outcome) {
@@ -73,11 +73,11 @@
 std::vector<CallRecord> CallEndsReader::read(int file) {
   std::vector<CallRecord> records;
   const std::string bytes = read_from(file, read_);
-  Reader in(bytes);
+  RecordReader in(bytes);
   for (std::size_t left = bytes.size(); left > 0;) {
     const auto payload = in.record();
     if (!payload) break;
-    const std::size_t size = kRecordHeader + payload->size();
+    const std::size_t size = kRecordHeaderBytes + payload->size();
     left -= size;
     read_ += static_cast<off_t>(size);
     if (auto record = decode(*payload)) records.push_back(std::move(*record));
--- a/relay/call_ends.h
+++ b/relay/call_ends.h
@@ -21,8 +21,8 @@
 #include <utility>
 #include <vector>
 
-#include "bytes.h"
 #include "host_client.h"
+#include "record_codec.h"
 
 namespace myrtlegrade {
 
--- a/relay/config_text.cpp
+++ b/relay/config_text.cpp
@@ -10,10 +10,11 @@
   while (!bytes.empty()) {
     if (reading_) {
       const ListReader::Status status = reader_.feed(bytes, bytes.size());
-      if (status == ListReader::Status::bad) throw std::invalid_argument("config: known: " + reader_.error());
-      if (status == ListReader::Status::whole) {
+      if (status == ListReader::Status::invalid)
+        throw std::invalid_argument("config: known: " + reader_.error());
+      if (status == ListReader::Status::complete) {
         known_ = {reader_.version(), reader_.take_entries()};
-        reader_.next();
+        reader_.reset();
         reading_ = false;
       }
       continue;
--- a/relay/copy_net.cpp
+++ b/relay/copy_net.cpp
@@ -209,13 +209,13 @@
   spawn(executor_, connect(frame.to));
 }
 
-Writer CopyNet::hello(const std::string& to) const {
-  return Writer(Hello::hello).number(kVersion).text(fleet_).text(name_).text(to);
+RecordWriter CopyNet::hello(const std::string& to) const {
+  return RecordWriter(Hello::hello).number(kVersion).text(fleet_).text(name_).text(to);
 }
 
 // Who it is; none: not one that this relay talks to.
 std::optional<std::string> CopyNet::read_hello(const std::string& frame) const {
-  Reader in(frame);
+  RecordReader in(frame);
   if (in.kind<Hello>() != Hello::hello || in.number() != kVersion) return std::nullopt;
   const std::string fleet = in.text(), from = in.text(), to = in.text();
   if (!in.good || !in.empty() || fleet != fleet_ || to != name_ || from.empty() || from == name_)
--- a/relay/copy_net.h
+++ b/relay/copy_net.h
@@ -68,7 +68,7 @@
   boost::asio::awaitable<void> attend(std::shared_ptr<Stream> stream);
   boost::asio::awaitable<void> connect(valedrum::copies::Seat to);
   boost::asio::awaitable<void> listen(std::shared_ptr<Stream> stream, std::string from);
-  Writer hello(const std::string& to) const;
+  RecordWriter hello(const std::string& to) const;
   std::optional<std::string> read_hello(const std::string& frame) const;
   void up(const std::string& name, const std::shared_ptr<Stream>& stream);
 
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -117,9 +117,9 @@
     open = !error;
   }
   if (reader.entries().size() == 0) co_return;
-  if (good && reader.status() == catalog::ListReader::Status::more) {
+  if (good && reader.status() == catalog::ListReader::Status::needs_more) {
     ++spoilt_;
-    std::cerr << "discovery: a list of the watch was cut after byte " << reader.taken() << '\n';
+    std::cerr << "discovery: a list of the watch was cut after byte " << reader.bytes_consumed() << '\n';
   }
   give_back(executor_, reader.take_entries());
 }
@@ -129,12 +129,12 @@
                                       bool& ended) {
   while (!bytes.empty()) {
     const auto status = read_watch(reader, bytes, ended);
-    if (status == catalog::ListReader::Status::bad) {
+    if (status == catalog::ListReader::Status::invalid) {
       ++spoilt_;
       std::cerr << "discovery: a list of the watch can't be read: " << reader.error() << '\n';
       co_return false;
     }
-    if (status == catalog::ListReader::Status::more) continue;
+    if (status == catalog::ListReader::Status::needs_more) continue;
     spoilt_ = 0;
     if (may_take(reader.version())) {
       for (bool more = on_list_(reader, true); more; more = on_list_(reader, false)) {
@@ -143,7 +143,7 @@
       }
     }
     if (reader.entries().size() > kMostCleared) give_back(executor_, reader.take_entries());
-    reader.next();
+    reader.reset();
   }
   co_return true;
 }
--- a/relay/ended_messages.cpp
+++ b/relay/ended_messages.cpp
@@ -16,13 +16,13 @@
   return fingerprint(body, fingerprint(key, fingerprint(cls, destination)));
 }
 
-Writer& write(Writer& out, const Ended& e) {
+RecordWriter& write(RecordWriter& out, const Ended& e) {
   out.number(static_cast<std::uint64_t>(e.retry_in.count()) << 2 | static_cast<std::uint64_t>(e.told));
   out.number(e.content);
   return write(out, e.until);
 }
 
-Ended read_ended(Reader& in) {
+Ended read_ended(RecordReader& in) {
   Ended e;
   const std::uint64_t how = in.number();
   e.told = static_cast<Ended::Told>(how & 3);
--- a/relay/ended_messages.h
+++ b/relay/ended_messages.h
@@ -12,8 +12,8 @@
 #include <unordered_map>
 
 #include "budgets.h"
-#include "bytes.h"
 #include "moment.h"
+#include "record_codec.h"
 
 namespace myrtlegrade {
 
@@ -39,8 +39,8 @@
   Moment until;
 };
 
-Writer& write(Writer& out, const Ended& ended);
-Ended read_ended(Reader& in);
+RecordWriter& write(RecordWriter& out, const Ended& ended);
+Ended read_ended(RecordReader& in);
 
 // By a fingerprint of the id. Where those of two ids collide, the other message's content differs, and it is
 // refused as one with another's id: it takes both fingerprints, 128 bits, to pass for another message.
--- a/relay/endpoints.cpp
+++ b/relay/endpoints.cpp
@@ -8,9 +8,9 @@
 namespace myrtlegrade {
 
 namespace catalog = valedrum::catalog;
+using catalog::EndpointState;
 using catalog::Entry;
 using catalog::Slot;
-using catalog::State;
 using vetchhinge::DestinationId;
 using vetchhinge::HostId;
 using vetchhinge::HostState;
@@ -26,11 +26,11 @@
 
 constexpr std::size_t kChanges = 1'024;  // taken at once: two or three milliseconds (ours)
 
-HostState state_of(State state) {
+HostState state_of(EndpointState state) {
   switch (state) {
-    case State::serving:
+    case EndpointState::serving:
       return HostState::running;
-    case State::draining:
+    case EndpointState::draining:
       return HostState::draining;
     default:
       return HostState::gone;
@@ -45,7 +45,7 @@
 
 // ------------------------------------------------------------------------------------------- the list
 
-void Endpoints::take_whole(std::int64_t version, catalog::Table list, vetchhinge::HostList::Kind kind,
+void Endpoints::take_whole(std::int64_t version, catalog::EndpointTable list, vetchhinge::HostList::Kind kind,
                            Events& events) {
   version_ = version;
   Change change;
@@ -55,10 +55,10 @@
     change.named.push_back(id);
     host.running = host.listed = false;  // what a whole list does not name is gone
   }
-  catalog::Table old = std::exchange(list_, std::move(list));
+  catalog::EndpointTable old = std::exchange(list_, std::move(list));
   if (old.size() > 0) replaced_.push_back({std::move(old)});
   if (has_room()) {
-    list_.for_each(0, list_.slots(), [&](Slot, const Entry& entry) {
+    list_.for_each(0, list_.slot_end(), [&](Slot, const Entry& entry) {
       if (kind_of(entry)) awake_.try_emplace(entry.cell);
       tell(entry, change);
     });
@@ -71,7 +71,7 @@
   finish(std::move(change), events);
 }
 
-bool Endpoints::take_changes(std::int64_t version, const catalog::Table& changes, bool first,
+bool Endpoints::take_changes(std::int64_t version, const catalog::EndpointTable& changes, bool first,
                              Events& events) {
   if (first) next_change_ = 0;
   Change change;
@@ -79,7 +79,7 @@
   next_change_ = changes.for_each(next_change_, kChanges,
                                   [&](Slot, const Entry& changed) { take_change(changed, change); });
   finish(std::move(change), events);
-  const bool more = next_change_ < changes.slots();
+  const bool more = next_change_ < changes.slot_end();
   if (!more) version_ = version;
   return more;
 }
@@ -90,15 +90,15 @@
   const std::uint64_t cell = slot ? list_.at(*slot).cell : entry.cell;
   const bool was_usable = slot && kind_of(list_.at(*slot));
   // One that doesn't serve need not name its destination.
-  if (entry.state != State::serving && entry.cell == 0) entry.cell = cell;
-  if (entry.state == State::deleted) {
+  if (entry.state != EndpointState::serving && entry.cell == 0) entry.cell = cell;
+  if (entry.state == EndpointState::deleted) {
     list_.erase(entry.id);
   } else if (!list_.put(entry)) {
     return;
   }
-  if (was_usable && !list_.serves(cell)) gone_.add(cell);
+  if (was_usable && !list_.has_cell(cell)) gone_.add(cell);
 
-  const bool usable = entry.state != State::deleted && kind_of(entry);
+  const bool usable = entry.state != EndpointState::deleted && kind_of(entry);
   if (const auto number = dialect_.hosts.find(entry.id)) {
     const auto known = hosts_.find(HostId(*number));
     const bool moved = known != hosts_.end() && known->second.cell != entry.cell;
@@ -126,7 +126,7 @@
 // All of a destination, which is awake from now on.
 void Endpoints::tell_all(std::uint64_t cell, Change& change) {
   awake_.try_emplace(cell);
-  list_.of_cell(cell, slots_);
+  list_.slots_of_cell(cell, slots_);
   for (const Slot slot : slots_) tell(list_.at(slot), change);
 }
 
@@ -147,7 +147,7 @@
   Host& host = hosts_[id];
   if (host.running) change.ran.push_back(id);
   change.named.push_back(id);
-  host.running = entry.state == State::serving;
+  host.running = entry.state == EndpointState::serving;
   host.listed = true;
   host.address = to_endpoint(entry.address);
   host.cell = entry.cell;
@@ -179,10 +179,10 @@
   Replaced& old = replaced_.front();
   if (!old.looked_through) {
     old.next = old.list.for_each(old.next, kLooked, [this](Slot, const Entry& entry) {
-      if (kind_of(entry) && !list_.serves(entry.cell)) gone_.add(entry.cell);
+      if (kind_of(entry) && !list_.has_cell(entry.cell)) gone_.add(entry.cell);
     });
-    old.looked_through = old.next >= old.list.slots();
-  } else if (old.list.release(kGivenBack)) {
+    old.looked_through = old.next >= old.list.slot_end();
+  } else if (old.list.release_memory(kGivenBack)) {
     replaced_.pop_front();
   }
   return !replaced_.empty();
@@ -190,7 +190,7 @@
 
 // Whether all destinations may be awake.
 bool Endpoints::has_room() const {
-  return settings_.most_destinations == 0 || list_.cells() <= settings_.most_destinations;
+  return settings_.most_destinations == 0 || list_.cell_count() <= settings_.most_destinations;
 }
 
 // None: the settings don't name it, and nothing is sent to such an endpoint.
@@ -199,9 +199,9 @@
   return kind && *kind < settings_.kinds.size() ? kind : std::nullopt;
 }
 
-bool Endpoints::serves(const catalog::Table& list, std::uint64_t cell) const {
+bool Endpoints::serves(const catalog::EndpointTable& list, std::uint64_t cell) const {
   std::vector<Slot> slots;
-  list.of_cell(cell, slots);
+  list.slots_of_cell(cell, slots);
   return std::ranges::any_of(slots, [&](Slot slot) { return kind_of(list.at(slot)).has_value(); });
 }
 
--- a/relay/endpoints.h
+++ b/relay/endpoints.h
@@ -15,7 +15,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "catalog/table.h"
+#include "catalog/endpoint_table.h"
 #include "codec.h"
 #include "host_client.h"
 #include "host_list.h"
@@ -48,17 +48,17 @@
 
   // ------------------------------------------------------------------------------------- the list
   // In place of what was known; `kind` says to the module where it comes from. tidy() has work then.
-  void take_whole(std::int64_t version, valedrum::catalog::Table list, vetchhinge::HostList::Kind kind,
-                  Events& events);
+  void take_whole(std::int64_t version, valedrum::catalog::EndpointTable list,
+                  vetchhinge::HostList::Kind kind, Events& events);
   // Costs the same at any size of the list. Many are taken in parts, the first of them with `first`; true: to
   // be called again for the rest, with nothing else taken in between. The version is the new one from the
   // last part on: until then all of them may have to be asked for again.
-  bool take_changes(std::int64_t version, const valedrum::catalog::Table& changes, bool first,
+  bool take_changes(std::int64_t version, const valedrum::catalog::EndpointTable& changes, bool first,
                     Events& events);
   // A part of what a whole list leaves to do, of about a millisecond. False: nothing is left.
   bool tidy();
 
-  const valedrum::catalog::Table& list() const { return list_; }
+  const valedrum::catalog::EndpointTable& list() const { return list_; }
   std::int64_t version() const { return version_; }
   bool known() const { return known_; }  // some endpoint is, or was
 
@@ -104,7 +104,7 @@
   };
   struct Replaced {  // a list whose destinations are being looked through, up to `next`, or that is given
                      // back
-    valedrum::catalog::Table list;
+    valedrum::catalog::EndpointTable list;
     valedrum::catalog::Slot next = 0;
     bool looked_through = false;
   };
@@ -116,7 +116,7 @@
 
   bool has_room() const;
   std::optional<std::uint32_t> kind_of(const valedrum::catalog::Entry& entry) const;
-  bool serves(const valedrum::catalog::Table& list, std::uint64_t cell) const;
+  bool serves(const valedrum::catalog::EndpointTable& list, std::uint64_t cell) const;
   void take_change(const valedrum::catalog::Entry& changed, Change& change);
   void tell_gone(HostId id, Host& host, Change& change);
   void tell_all(std::uint64_t cell, Change& change);
@@ -128,7 +128,7 @@
   const vetchhinge::Settings& settings_;
   const Journal& journal_;
   HostClient& client_;
-  valedrum::catalog::Table list_;
+  valedrum::catalog::EndpointTable list_;
   std::deque<Replaced> replaced_;
   Gone gone_;
   std::unordered_map<std::uint64_t, std::vector<HostId>> awake_;  // by cell, with their endpoints
--- a/relay/fleet_config.cpp
+++ b/relay/fleet_config.cpp
@@ -11,8 +11,8 @@
 #include <map>
 #include <stdexcept>
 
-#include "bytes.h"
 #include "json_fields.h"
+#include "record_codec.h"
 
 namespace myrtlegrade {
 namespace {
@@ -112,10 +112,10 @@
 
 // Why it can't be used; nothing where it can.
 const char* FleetIdentity::read(const std::string& bytes) {
-  Reader outer(bytes);
+  RecordReader outer(bytes);
   const auto payload = outer.record();
   if (!payload || payload->empty()) return "it is damaged";
-  Reader in(*payload);
+  RecordReader in(*payload);
   if (in.kind<Written>() != Written::version_1)
     throw std::runtime_error(folder_ + "/fleet is of a later program");
   const std::string of = in.text(), who = in.text();
@@ -128,7 +128,8 @@
 
 bool FleetIdentity::keep(std::uint64_t incarnation) {
   incarnation_ = incarnation;
-  const std::string bytes = Writer(Written::version_1).text(fleet_).text(name_).number(incarnation).record();
+  const std::string bytes =
+      RecordWriter(Written::version_1).text(fleet_).text(name_).number(incarnation).record();
   const std::string path = folder_ + "/fleet", fresh = path + ".new";
   const int file = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (file < 0) return false;
--- a/relay/frames.cpp
+++ b/relay/frames.cpp
@@ -22,12 +22,13 @@
 
 }  // namespace
 
-Writer write(const Inheritance& all, const catalog::Table& list, const vetchhinge::drill::Names& hosts) {
-  Writer out(Frame::over);
+RecordWriter write(const Inheritance& all, const catalog::EndpointTable& list,
+                   const vetchhinge::drill::Names& hosts) {
+  RecordWriter out(Frame::over);
   out.flag(all.leaving).number(all.descriptors).number(all.last_call).flag(all.earlier_calls_open);
   out.number(static_cast<std::uint64_t>(all.list.version)).number(list.size());
-  list.for_each(0, list.slots(), [&](catalog::Slot, const catalog::Entry& e) {
-    out.text(e.id).text(e.kind).text(e.zone).number(e.cell).flag(e.state == catalog::State::serving);
+  list.for_each(0, list.slot_end(), [&](catalog::Slot, const catalog::Entry& e) {
+    out.text(e.id).text(e.kind).text(e.zone).number(e.cell).flag(e.state == catalog::EndpointState::serving);
     out.real(e.weight).text(text_of(to_endpoint(e.address)));
   });
   out.number(all.learned.lanes.size());
@@ -63,7 +64,7 @@
   return out;
 }
 
-std::optional<Inheritance> read_inheritance(Reader& in, vetchhinge::drill::Names& hosts) {
+std::optional<Inheritance> read_inheritance(RecordReader& in, vetchhinge::drill::Names& hosts) {
   Inheritance all;
   const auto host = [&] { return HostId(hosts.number(in.text())); };
   const auto whole = [&] { return static_cast<int>(in.number()); };
@@ -79,7 +80,7 @@
     e.zone = zone;
     e.kind = kind;
     e.cell = in.number();
-    e.state = in.flag() ? catalog::State::serving : catalog::State::draining;
+    e.state = in.flag() ? catalog::EndpointState::serving : catalog::EndpointState::draining;
     e.weight = in.real();
     const auto address = catalog::parse_address(in.text());
     if (!in.good || !address) return std::nullopt;
@@ -139,59 +140,59 @@
   return all;
 }
 
-Writer write_outcome(const std::string& message, std::uint32_t attempt, const CallResult& r) {
-  Writer out(Frame::outcome);
+RecordWriter write_outcome(const std::string& message, std::uint32_t attempt, const CallResult& r) {
+  RecordWriter out(Frame::outcome);
   return write_result(out.text(message).number(attempt), r);
 }
 
-Writer& write_result(Writer& out, const CallResult& r) {
+RecordWriter& write_result(RecordWriter& out, const CallResult& r) {
   out.number(static_cast<std::uint64_t>(r.result)).flag(r.over);
-  out.span(r.wait).span(r.elapsed).flag(r.report.has_value());
+  out.duration(r.wait).duration(r.elapsed).flag(r.report.has_value());
   const auto report = r.report.value_or(vetchhinge::LimitReport{});
   out.real(report.share_left).real(report.calls_per_second);
-  return out.flag(r.connection.established).span(r.connection.idle);
+  return out.flag(r.connection.established).duration(r.connection.idle);
 }
 
-CallResult read_result(Reader& in) {
+CallResult read_result(RecordReader& in) {
   CallResult r;
   r.result = static_cast<vetchhinge::Result>(in.number());
   r.over = in.flag();
-  r.wait = in.span();
-  r.elapsed = in.span();
+  r.wait = in.duration();
+  r.elapsed = in.duration();
   const bool told = in.flag();
   vetchhinge::LimitReport report;
   report.share_left = in.real();
   report.calls_per_second = in.real();
   if (told) r.report = report;
   r.connection.established = in.flag();
-  r.connection.idle = in.span();
+  r.connection.idle = in.duration();
   return r;
 }
 
-Writer write_call_over(std::uint64_t call, CallEnd end) {
-  Writer out(Frame::call_over);
+RecordWriter write_call_over(std::uint64_t call, CallEnd end) {
+  RecordWriter out(Frame::call_over);
   return out.number(call).number(static_cast<std::uint64_t>(end));
 }
 
-Writer write_reloaded(const Reloaded& reloaded) {
-  Writer out(Frame::reloaded);
+RecordWriter write_reloaded(const Reloaded& reloaded) {
+  RecordWriter out(Frame::reloaded);
   return out.time(steady_time(reloaded.read_at)).text(text_of(reloaded.discovery));
 }
 
-std::optional<Reloaded> read_reloaded(Reader& in) {
+std::optional<Reloaded> read_reloaded(RecordReader& in) {
   const Time read_at = in.time<Time>();
   const auto address = catalog::parse_address(in.text());
   if (!in.good || !address) return std::nullopt;
   return Reloaded{std::chrono::steady_clock::time_point(read_at.time_since_epoch()), to_endpoint(*address)};
 }
 
-Writer write_hand_in(std::uint64_t token, const HandIn& m) {
-  Writer out(Frame::hand_in);
+RecordWriter write_hand_in(std::uint64_t token, const HandIn& m) {
+  RecordWriter out(Frame::hand_in);
   out.number(token).text(m.id).text(m.cls).number(m.destination).text(m.key).text(m.body);
   return write(out, m.deadline);
 }
 
-HandIn read_hand_in(Reader& in) {
+HandIn read_hand_in(RecordReader& in) {
   HandIn m;
   m.id = in.text();
   m.cls = in.text();
@@ -202,15 +203,15 @@
   return m;
 }
 
-Writer write_answer(std::uint64_t token, const Answer& answer) {
-  Writer out(Frame::answer);
-  return out.number(token).number(static_cast<std::uint64_t>(answer.kind)).span(answer.retry_after);
+RecordWriter write_answer(std::uint64_t token, const Answer& answer) {
+  RecordWriter out(Frame::answer);
+  return out.number(token).number(static_cast<std::uint64_t>(answer.kind)).duration(answer.retry_after);
 }
 
-Answer read_answer(Reader& in) {
+Answer read_answer(RecordReader& in) {
   Answer answer;
   answer.kind = static_cast<Answer::Kind>(in.number());
-  answer.retry_after = std::chrono::duration_cast<std::chrono::milliseconds>(in.span());
+  answer.retry_after = std::chrono::duration_cast<std::chrono::milliseconds>(in.duration());
   return answer;
 }
 
--- a/relay/frames.h
+++ b/relay/frames.h
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <vector>
 
-#include "bytes.h"
 #include "codec.h"
 #include "host_client.h"
 #include "host_list.h"
 #include "journal.h"
+#include "record_codec.h"
 #include "server.h"
 #include "vetchhinge/policy.h"
 
@@ -69,27 +69,27 @@
 };
 
 // Numbers of hosts are each process's own: names travel.
-Writer write(const Inheritance& inheritance, const valedrum::catalog::Table& list,
-             const vetchhinge::drill::Names& hosts);
-std::optional<Inheritance> read_inheritance(Reader& in, vetchhinge::drill::Names& hosts);
+RecordWriter write(const Inheritance& inheritance, const valedrum::catalog::EndpointTable& list,
+                   const vetchhinge::drill::Names& hosts);
+std::optional<Inheritance> read_inheritance(RecordReader& in, vetchhinge::drill::Names& hosts);
 
-Writer write_outcome(const std::string& message, std::uint32_t attempt, const CallResult& result);
-Writer& write_result(Writer& out, const CallResult& result);
-CallResult read_result(Reader& in);
+RecordWriter write_outcome(const std::string& message, std::uint32_t attempt, const CallResult& result);
+RecordWriter& write_result(RecordWriter& out, const CallResult& result);
+CallResult read_result(RecordReader& in);
 
-Writer write_call_over(std::uint64_t call, CallEnd end);
+RecordWriter write_call_over(std::uint64_t call, CallEnd end);
 
 struct Reloaded {
   std::chrono::steady_clock::time_point read_at{};
   Endpoint discovery;
 };
-Writer write_reloaded(const Reloaded& reloaded);
-std::optional<Reloaded> read_reloaded(Reader& in);
+RecordWriter write_reloaded(const Reloaded& reloaded);
+std::optional<Reloaded> read_reloaded(RecordReader& in);
 
-Writer write_hand_in(std::uint64_t token, const HandIn& message);
-HandIn read_hand_in(Reader& in);
+RecordWriter write_hand_in(std::uint64_t token, const HandIn& message);
+HandIn read_hand_in(RecordReader& in);
 
-Writer write_answer(std::uint64_t token, const Answer& answer);
-Answer read_answer(Reader& in);
+RecordWriter write_answer(std::uint64_t token, const Answer& answer);
+Answer read_answer(RecordReader& in);
 
 }  // namespace myrtlegrade
--- a/relay/host_list.h
+++ b/relay/host_list.h
@@ -5,8 +5,8 @@
 #include <cstdint>
 #include <string_view>
 
+#include "catalog/endpoint_table.h"
 #include "catalog/entry.h"
-#include "catalog/table.h"
 
 namespace myrtlegrade {
 
@@ -14,7 +14,7 @@
 
 struct WholeList {
   std::int64_t version = 0;
-  valedrum::catalog::Table entries;
+  valedrum::catalog::EndpointTable entries;
 };
 
 // `field` is named in the std::invalid_argument that is thrown for text that is no "address:port".
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -8,8 +8,8 @@
 #include <system_error>
 #include <thread>
 
-#include "bytes.h"
 #include "journal_records.h"
+#include "record_codec.h"
 
 namespace myrtlegrade {
 
@@ -59,7 +59,7 @@
   const std::optional<std::string> text = disk_->read(kName);
   if (text) read(*text);
   // Also behind what an earlier program wrote: it must not cut off the records that it does not know.
-  if (format_ < kJournalFormat) append({}, Writer(Kind::format).number(kJournalFormat).record());
+  if (format_ < kJournalFormat) append({}, RecordWriter(Kind::format).number(kJournalFormat).record());
   // A torn tail would hide every record behind it.
   if (!try_for_a_while([&] { return disk_->cut(kName, size_); }))
     throw std::system_error(errno, std::generic_category(), "PROXY_STATE: journal");
@@ -69,12 +69,12 @@
 }
 
 void Journal::read(const std::string& text) {
-  Reader in(text);
+  RecordReader in(text);
   Owed owed;
   while (!in.empty()) {
     const auto payload = in.record();
     if (!payload || !apply(*payload, owed)) break;
-    size_ += kRecordHeader + payload->size();
+    size_ += kRecordHeaderBytes + payload->size();
   }
   messages_ = owed.take_messages();
   notices_ = owed.take_notices();
@@ -121,7 +121,7 @@
 }
 
 void Journal::accept(const StoredMessage& m) {
-  Writer out(Kind::accept);
+  RecordWriter out(Kind::accept);
   out.text(m.id).text(m.cls).number(m.destination).text(m.key).text(m.body);
   std::string record = write(out, m.deadline).record();
   const std::size_t reserved = record.size() + kGrowth;
@@ -148,7 +148,7 @@
   if (found == index_.end()) return;
   Live& live = live_.at(found->second);
   live.attempts = std::max(live.attempts, number + 1);
-  Writer out(Kind::numbered_attempt);
+  RecordWriter out(Kind::numbered_attempt);
   out.text(id).number(number).text(a.host).text(a.zone);
   extend_live(id, live, write(out, a.sent).record());
 }
@@ -157,7 +157,8 @@
   const auto found = index_.find(id);
   if (found == index_.end()) return;
   Live& live = live_.at(found->second);
-  if (number < live.attempts) extend_live(id, live, Writer(Kind::never_ran).text(id).number(number).record());
+  if (number < live.attempts)
+    extend_live(id, live, RecordWriter(Kind::never_ran).text(id).number(number).record());
 }
 
 void Journal::forget(const std::string& id) {
@@ -174,7 +175,7 @@
   ended_.remember(fingerprint(id), ended, read_clocks());
 }
 
-void Journal::end(const std::string& id) { end(id, Writer(Kind::end).text(id).record()); }
+void Journal::end(const std::string& id) { end(id, RecordWriter(Kind::end).text(id).record()); }
 
 void Journal::end(const std::string& id, const Ended& ended) {
   remember(id, ended);
@@ -198,7 +199,7 @@
 }
 
 void Journal::end_owing(const Notice& n, const std::optional<Ended>& ended) {
-  Writer out(Kind::end_owing);
+  RecordWriter out(Kind::end_owing);
   out.text(n.message).number(n.handed_back ? 1 : 0).number(static_cast<std::uint64_t>(n.retry_in.count()));
   if (ended) {
     write(out, *ended);
@@ -214,21 +215,21 @@
 
 void Journal::notice_settled(const std::string& id) {
   if (!index_.contains(id)) return;
-  append(id, Writer(Kind::notice_settled).text(id).record());
+  append(id, RecordWriter(Kind::notice_settled).text(id).record());
   forget(id);
 }
 
 void Journal::ban(const std::string& host) {
   if (!banned_.insert(host).second) return;
-  const std::string record = Writer(Kind::ban).text(host).record();
+  const std::string record = RecordWriter(Kind::ban).text(host).record();
   reserved_ += record.size();
   append({}, record);
 }
 
 void Journal::lift(const std::string& host) {
   if (banned_.erase(host) == 0) return;
-  reserved_ -= Writer(Kind::ban).text(host).record().size();
-  append({}, Writer(Kind::lift).text(host).record());
+  reserved_ -= RecordWriter(Kind::ban).text(host).record().size();
+  append({}, RecordWriter(Kind::lift).text(host).record());
 }
 
 // How many of them a new file takes along.
@@ -246,8 +247,8 @@
 }
 
 std::string Journal::live_records() const {
-  std::string text = Writer(Kind::format).number(kJournalFormat).record();
-  for (const std::string& host : banned_) text += Writer(Kind::ban).text(host).record();
+  std::string text = RecordWriter(Kind::format).number(kJournalFormat).record();
+  for (const std::string& host : banned_) text += RecordWriter(Kind::ban).text(host).record();
   for (const auto& [number, entry] : live_) text += entry.records;
   return text;
 }
--- a/relay/journal_records.cpp
+++ b/relay/journal_records.cpp
@@ -1,13 +1,15 @@
 #include "journal_records.h"
 
-#include "bytes.h"
+#include "record_codec.h"
 
 namespace myrtlegrade {
 
-Writer& write(Writer& out, const Moment& at) { return out.time(at.wall).number(at.boot).time(at.steady); }
+RecordWriter& write(RecordWriter& out, const Moment& at) {
+  return out.time(at.wall).number(at.boot).time(at.steady);
+}
 
 // Earlier programs wrote the time of day alone.
-Moment read_moment(Reader& in) {
+Moment read_moment(RecordReader& in) {
   Moment at{in.time<WallTime>(), 0, {}};
   if (in.empty()) return at;
   at.boot = in.number();
@@ -17,7 +19,7 @@
 
 namespace {
 
-void read_memory(Reader& in, JournalRecord& r) {
+void read_memory(RecordReader& in, JournalRecord& r) {
   if (in.empty()) return;  // of an earlier program, or of one that is not remembered
   r.ended_id = r.id.empty() ? in.number() : fingerprint(r.id);
   r.ended = read_ended(in);
@@ -26,17 +28,17 @@
 }  // namespace
 
 std::string end_record(const std::string& id, const Ended& ended) {
-  Writer out(RecordKind::end);
+  RecordWriter out(RecordKind::end);
   return write(out.text(id), ended).record();
 }
 
 std::string end_record(std::uint64_t id, const Ended& ended) {
-  Writer out(RecordKind::end);
+  RecordWriter out(RecordKind::end);
   return write(out.text({}).number(id), ended).record();
 }
 
 std::optional<JournalRecord> parse_record(std::string_view payload) {
-  Reader in(payload);
+  RecordReader in(payload);
   JournalRecord r;
   r.kind = in.kind<RecordKind>();
   if (r.kind == RecordKind::format) {
--- a/relay/journal_records.h
+++ b/relay/journal_records.h
@@ -11,15 +11,15 @@
 #include <utility>
 #include <vector>
 
-#include "bytes.h"
 #include "ended_messages.h"
 #include "journal.h"
+#include "record_codec.h"
 
 namespace myrtlegrade {
 
 // Always the last field of its record.
-Writer& write(Writer& out, const Moment& at);
-Moment read_moment(Reader& in);
+RecordWriter& write(RecordWriter& out, const Moment& at);
+Moment read_moment(RecordReader& in);
 
 enum class RecordKind : std::uint8_t {
   accept = 1,
@@ -97,7 +97,8 @@
 // An end that is remembered. Without an id only its fingerprint is known by now.
 std::string end_record(const std::string& id, const Ended& ended);
 std::string end_record(std::uint64_t id, const Ended& ended);
-inline constexpr std::size_t kEndRecord = kRecordHeader + 1 + 7 * sizeof(std::uint64_t);  // without an id
+inline constexpr std::size_t kEndRecord =
+    kRecordHeaderBytes + 1 + 7 * sizeof(std::uint64_t);  // without an id
 
 // What a record's payload says; none where it can't be read.
 std::optional<JournalRecord> parse_record(std::string_view payload);
--- a/relay/journal_view.cpp
+++ b/relay/journal_view.cpp
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <system_error>
 
-#include "bytes.h"
 #include "journal_records.h"
+#include "record_codec.h"
 
 namespace myrtlegrade {
 namespace {
@@ -32,16 +32,16 @@
   if (file.bad()) throw std::system_error(EIO, std::generic_category(), path);
   JournalView view;
   view.bytes = text.size();
-  Reader in(text);
+  RecordReader in(text);
   Owed owed;
   for (std::uint64_t at = 0; !in.empty();) {
     const std::uint64_t left = text.size() - at;
-    Reader head(std::string_view(text).substr(at));
+    RecordReader head(std::string_view(text).substr(at));
     const std::uint64_t length = head.number(4);
     const auto payload = in.record();
     const auto record = payload ? parse_record(*payload) : std::nullopt;
     if (!record) {
-      const bool torn = left < kRecordHeader || length > left - kRecordHeader;
+      const bool torn = left < kRecordHeaderBytes || length > left - kRecordHeaderBytes;
       view.damage = {at, left, torn,
                      torn      ? "the record is cut off"
                      : payload ? "the record is of a kind that is not known"
@@ -57,7 +57,7 @@
     if (record->kind == RecordKind::format) view.format = record->number;
     if (record->kind == RecordKind::ban) view.banned.insert(record->id);
     if (record->kind == RecordKind::lift) view.banned.erase(record->id);
-    at += kRecordHeader + payload->size();
+    at += kRecordHeaderBytes + payload->size();
   }
   view.messages = owed.take_messages();
   view.notices = owed.take_notices();
--- a/relay/record_stream.h
+++ b/relay/record_stream.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <utility>
 
-#include "bytes.h"
 #include "coroutine.h"
+#include "record_codec.h"
 #include "stream_io.h"
 
 namespace myrtlegrade {
@@ -27,7 +27,7 @@
 
   Socket& socket() { return socket_; }
 
-  void send(const Writer& frame) { send_record(frame.record()); }
+  void send(const RecordWriter& frame) { send_record(frame.record()); }
   void send_record(const std::string& record) {
     if (!socket_.is_open()) return;
     queue_ += record;
@@ -39,18 +39,18 @@
   // None: the other end is gone, or what it says is spoilt.
   boost::asio::awaitable<std::optional<std::string>> receive() {
     const auto self = this->shared_from_this();
-    while (buffer_.size() < kRecordHeader || buffer_.size() < kRecordHeader + length_of(buffer_)) {
-      if (buffer_.size() >= kRecordHeader && length_of(buffer_) > most_frame_) co_return std::nullopt;
+    while (buffer_.size() < kRecordHeaderBytes || buffer_.size() < kRecordHeaderBytes + length_of(buffer_)) {
+      if (buffer_.size() >= kRecordHeaderBytes && length_of(buffer_) > most_frame_) co_return std::nullopt;
       std::array<char, kReadSize> bytes;
       const auto [error, count] = co_await socket_.async_read_some(boost::asio::buffer(bytes), kAwait);
       if (error) co_return std::nullopt;
       buffer_.append(bytes.data(), count);
     }
-    Reader in(buffer_);
+    RecordReader in(buffer_);
     const auto payload = in.record();
     if (!payload) co_return std::nullopt;
     std::string frame(*payload);
-    buffer_.erase(0, kRecordHeader + frame.size());
+    buffer_.erase(0, kRecordHeaderBytes + frame.size());
     co_return frame;
   }
 
@@ -66,7 +66,7 @@
   static constexpr std::size_t kReadSize = 64 << 10;
 
   // The length that a record's first four bytes tell.
-  static std::size_t length_of(std::string_view header) { return Reader(header).number(4); }
+  static std::size_t length_of(std::string_view header) { return RecordReader(header).number(4); }
 
   boost::asio::awaitable<void> write_out([[maybe_unused]] std::shared_ptr<RecordStream> self) {
     while (!queue_.empty()) {
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -99,7 +99,7 @@
     syncer_ = std::make_shared<Syncer>(executor_, [this] { return journal_.sync_later(); });
   make_copies();
   if (!inherited) return;
-  Reader in(*inherited);
+  RecordReader in(*inherited);
   inherited_ = read_inheritance(in, config_.dialect.hosts);
   if (!inherited_) std::cerr << "myrtlegrade: what the old process knew can't be read" << std::endl;
 }
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -65,8 +65,8 @@
   };
   // Decides a last time, and writes nothing any more. What is out ends here; the rest as with drain(), which
   // may have begun before.
-  Writer give_over(Successor successor, std::function<void()> done,
-                   std::chrono::steady_clock::time_point since);
+  RecordWriter give_over(Successor successor, std::function<void()> done,
+                         std::chrono::steady_clock::time_point since);
   // It decides nothing any more, and takes nothing on.
   bool closing() const { return closing_; }
 
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -24,7 +24,8 @@
 // ------------------------------------------------------------------------------------------ drain
 
 // What it knows goes out in one piece, between two steps: from here on every decision is the new process's.
-Writer Relay::give_over(Successor successor, std::function<void()> done, SteadyClock::time_point since) {
+RecordWriter Relay::give_over(Successor successor, std::function<void()> done,
+                              SteadyClock::time_point since) {
   timers_.clear();
   step();
   server_.stop_accepting();
--- a/relay/slices.h
+++ b/relay/slices.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <utility>
 
-#include "catalog/table.h"
+#include "catalog/endpoint_table.h"
 
 namespace myrtlegrade {
 
@@ -20,9 +20,9 @@
 
 constexpr std::size_t kGivenBack = 2 << 20;  // bytes of a table in one slice: under a millisecond (ours)
 
-inline void give_back(const boost::asio::any_io_executor& executor, valedrum::catalog::Table table) {
-  run_in_slices(executor, [held = std::make_shared<valedrum::catalog::Table>(std::move(table))] {
-    return !held->release(kGivenBack);
+inline void give_back(const boost::asio::any_io_executor& executor, valedrum::catalog::EndpointTable table) {
+  run_in_slices(executor, [held = std::make_shared<valedrum::catalog::EndpointTable>(std::move(table))] {
+    return !held->release_memory(kGivenBack);
   });
 }
 
--- a/relay/succession.cpp
+++ b/relay/succession.cpp
@@ -100,7 +100,7 @@
 void Succession::ask_to_prepare() {
   awaits_link_ = false;
   // One that is stalled must not be given what it can't carry on.
-  successor_->send(Writer(Frame::prepare));
+  successor_->send(RecordWriter(Frame::prepare));
   prepare_timer_.expires_after(kPrepareWithin);
   prepare_timer_.async_wait([this](boost::system::error_code error) {
     if (error || given_over_) return;
@@ -144,7 +144,7 @@
   if (successor_) successor_->send(write_reloaded({config_.read_at, config_.discovery}));
 }
 
-void Succession::heard_reloaded(Reader& in) {
+void Succession::heard_reloaded(RecordReader& in) {
   const auto other = read_reloaded(in);
   if (!other || other->read_at <= config_.read_at) return;
   config_.read_at = other->read_at;
@@ -280,12 +280,12 @@
   }
   pause_.cancel();
   if (!hello || ending_) co_return;
-  Reader in(*hello);
+  RecordReader in(*hello);
   if (in.kind<Frame>() != Frame::hello || in.number() != kLinkVersion) {
     std::cerr << "myrtlegrade: the old process speaks another version: waiting for its end" << std::endl;
     co_return;
   }
-  link->send(Writer(Frame::hello).number(kLinkVersion));
+  link->send(RecordWriter(Frame::hello).number(kLinkVersion));
   predecessor_ = link;
   standing_by_ = true;
   std::cerr << "myrtlegrade: standing by, listening on " << listening_->local_endpoint() << std::endl;
@@ -313,14 +313,14 @@
   become(std::move(inherited));
   std::cerr << "myrtlegrade: took over" << std::endl;
   if (relay_->knows_calls() && predecessor_)
-    predecessor_->send(Writer(Frame::took_over).text(relay_->owner_name()));
+    predecessor_->send(RecordWriter(Frame::took_over).text(relay_->owner_name()));
 }
 
 void Succession::heard_from_predecessor(const std::string& frame) {
-  Reader in(frame);
+  RecordReader in(frame);
   const auto kind = in.kind<Frame>();
   if (kind == Frame::prepare) {
-    predecessor_->send(Writer(Frame::prepared));
+    predecessor_->send(RecordWriter(Frame::prepared));
   } else if (kind == Frame::reply || kind == Frame::returned) {
     replied(in, kind == Frame::returned);
   } else if (kind == Frame::reloaded) {
@@ -352,7 +352,7 @@
   } else if (kind == Frame::call) {
     const std::uint64_t token = in.number();
     called(in.text(), [link = predecessor_, token](const std::string& reply) {
-      if (link) link->send(Writer(Frame::reply).number(token).text(reply));
+      if (link) link->send(RecordWriter(Frame::reply).number(token).text(reply));
     });
   }
 }
@@ -377,7 +377,7 @@
 
 asio::awaitable<void> Succession::attend(Links link) {
   if (link->send_descriptor(relay_->listening_descriptor())) {
-    link->send(Writer(Frame::hello).number(kLinkVersion));
+    link->send(RecordWriter(Frame::hello).number(kLinkVersion));
     tell_reloaded();
     for (auto frame = co_await link->receive(); frame && link == successor_;
          frame = co_await link->receive()) {
@@ -401,7 +401,7 @@
 }
 
 void Succession::heard_from_successor(const std::string& frame) {
-  Reader in(frame);
+  RecordReader in(frame);
   const auto kind = in.kind<Frame>();
   if (kind == Frame::hello) {
     successor_ready_ = in.number() == kLinkVersion;
@@ -421,9 +421,9 @@
   } else if (kind == Frame::call) {
     const std::uint64_t token = in.number();
     const std::string line = in.text();
-    if (given_over_) return successor_->send(Writer(Frame::returned).number(token));
+    if (given_over_) return successor_->send(RecordWriter(Frame::returned).number(token));
     called(line, [link = successor_, token](const std::string& reply) {
-      if (link) link->send(Writer(Frame::reply).number(token).text(reply));
+      if (link) link->send(RecordWriter(Frame::reply).number(token).text(reply));
     });
   }
 }
@@ -439,7 +439,7 @@
     handed_in_.emplace(last_token_, std::move(respond));
   };
   to.unheard = [this](const std::string& id) {
-    if (successor_) successor_->send(Writer(Frame::unheard).text(id));
+    if (successor_) successor_->send(RecordWriter(Frame::unheard).text(id));
   };
   to.outcome = [this](const std::string& id, std::uint32_t attempt, const CallResult& result) {
     if (successor_) successor_->send(write_outcome(id, attempt, result));
@@ -451,7 +451,7 @@
   to.told_all = [this] {
     return handed_in_.empty() && (!successor_ || (successor_->sent() && !predecessor_));
   };
-  const Writer over = relay_->give_over(std::move(to), done_, told_to_end_);
+  const RecordWriter over = relay_->give_over(std::move(to), done_, told_to_end_);
   if (fleet_) fleet_->stop();  // the new process is the same member: nothing is said of a leave
   lock_.release();
   successor_->send(over);
@@ -461,7 +461,7 @@
 
 void Succession::tell_usage() {
   if (!successor_) return;
-  successor_->send(Writer(Frame::usage).number(relay_->descriptors()));
+  successor_->send(RecordWriter(Frame::usage).number(relay_->descriptors()));
   usage_timer_.expires_after(kTellEvery);
   usage_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) tell_usage();
--- a/relay/succession.h
+++ b/relay/succession.h
@@ -72,12 +72,12 @@
   void leave_alone();
   void close_successors();
   void tell_reloaded();
-  void heard_reloaded(Reader& in);
+  void heard_reloaded(RecordReader& in);
   void tell_usage();
 
   void called(const std::string& line, const AdminServer::Reply& reply);
   void ask_other(const Links& link, const std::string& line, const AdminServer::Reply& reply);
-  void replied(Reader& in, bool returned);
+  void replied(RecordReader& in, bool returned);
   void drop_questions();
 
   boost::asio::any_io_executor executor_;
--- a/relay/succession_calls.cpp
+++ b/relay/succession_calls.cpp
@@ -22,11 +22,11 @@
 
 void Succession::ask_other(const Links& link, const std::string& line, const AdminServer::Reply& reply) {
   if (!link) return reply("NAK not serving");
-  link->send(Writer(Frame::call).number(++last_token_).text(line));
+  link->send(RecordWriter(Frame::call).number(++last_token_).text(line));
   questions_.emplace(last_token_, Question{line, reply});
 }
 
-void Succession::replied(Reader& in, bool returned) {
+void Succession::replied(RecordReader& in, bool returned) {
   const auto found = questions_.find(in.number());
   if (found == questions_.end()) return;
   const Question question = std::move(found->second);
--- a/tests/catalog_reader_test.cpp
+++ b/tests/catalog_reader_test.cpp
@@ -40,9 +40,9 @@
   return line;
 }
 
-Lines lines_of(const Table& table) {
+Lines lines_of(const EndpointTable& table) {
   Lines lines;
-  table.for_each(0, table.slots(),
+  table.for_each(0, table.slot_end(),
                  [&](Slot, const Entry& entry) { lines[std::string(entry.id)] = line_of(entry); });
   return lines;
 }
@@ -56,10 +56,10 @@
     entry.kind = listed.host.kind;
     entry.cell = listed.host.cell;
     entry.weight = listed.host.scale;
-    entry.state = listed.host.state == vetchhinge::HostState::running    ? State::serving
-                  : listed.host.state == vetchhinge::HostState::draining ? State::draining
-                                                                         : State::deleted;
-    if (entry.state == State::deleted && update.full) {
+    entry.state = listed.host.state == vetchhinge::HostState::running    ? EndpointState::serving
+                  : listed.host.state == vetchhinge::HostState::draining ? EndpointState::draining
+                                                                         : EndpointState::deleted;
+    if (entry.state == EndpointState::deleted && update.full) {
       lines.erase(listed.host.host);
       continue;
     }
@@ -81,9 +81,10 @@
 using Status = ListReader::Status;
 
 Status feed_all(ListReader& reader, std::string_view text, std::size_t most = 64 << 10) {
-  while (!text.empty() && reader.status() == Status::more) reader.feed(text, most);
-  if (reader.status() != Status::whole) return reader.status();
-  return text.empty() ? Status::whole : Status::bad;  // something after the list, where there is one a line
+  while (!text.empty() && reader.status() == Status::needs_more) reader.feed(text, most);
+  if (reader.status() != Status::complete) return reader.status();
+  return text.empty() ? Status::complete
+                      : Status::invalid;  // something after the list, where there is one a line
 }
 
 constexpr const char* kServers =
@@ -101,7 +102,7 @@
       std::string("\n{\"version\":41, \"full\":false, \"more\":[[], {\"servers\":[1]}, null],\r\n") +
       kServers + "}";
   ListReader whole;
-  ASSERT_EQ(feed_all(whole, text), Status::whole) << whole.error();
+  ASSERT_EQ(feed_all(whole, text), Status::complete) << whole.error();
   const Lines lines = lines_of(whole.entries());
   EXPECT_EQ(lines, lines_of(myrtlegrade::parse_list(json::parse(text))));
   EXPECT_EQ(lines.size(), 4u);
@@ -109,19 +110,19 @@
   ListReader reader;
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
     std::string_view first = std::string_view(text).substr(0, cut), rest = std::string_view(text).substr(cut);
-    ASSERT_EQ(feed_all(reader, first), Status::more) << cut;
-    ASSERT_EQ(feed_all(reader, rest), Status::whole) << cut << ": " << reader.error();
+    ASSERT_EQ(feed_all(reader, first), Status::needs_more) << cut;
+    ASSERT_EQ(feed_all(reader, rest), Status::complete) << cut << ": " << reader.error();
     ASSERT_EQ(lines_of(reader.entries()), lines) << cut;
     ASSERT_EQ(reader.version(), 41);
-    reader.next();
+    reader.reset();
     // A byte that has no place anywhere in a list.
     std::string spoilt = text;
     spoilt[cut] = '\x01';
-    ASSERT_EQ(feed_all(reader, spoilt, 1 + cut % 13), Status::bad) << cut;
+    ASSERT_EQ(feed_all(reader, spoilt, 1 + cut % 13), Status::invalid) << cut;
     ASSERT_NE(reader.error(), "");
-    reader.next();
+    reader.reset();
   }
-  ASSERT_EQ(feed_all(reader, text, 1), Status::whole);
+  ASSERT_EQ(feed_all(reader, text, 1), Status::complete);
   ASSERT_EQ(lines_of(reader.entries()), lines);
 }
 
@@ -130,13 +131,13 @@
     std::string text(form);
     text.replace(text.find("%s"), 2, kServers);
     ListReader reader;
-    ASSERT_EQ(feed_all(reader, text), Status::whole) << reader.error();
+    ASSERT_EQ(feed_all(reader, text), Status::complete) << reader.error();
     EXPECT_TRUE(reader.full());
     EXPECT_EQ(reader.version(), 7);
     EXPECT_EQ(lines_of(reader.entries()), lines_of(myrtlegrade::parse_list(json::parse(text))));
     EXPECT_FALSE(reader.entries().find("s-gone"));
-    Table kept = reader.take_entries();
-    reader.next();
+    EndpointTable kept = reader.take_entries();
+    reader.reset();
     EXPECT_EQ(kept.size(), 3u);
     EXPECT_EQ(reader.entries().size(), 0u);
   }
@@ -155,14 +156,14 @@
     ListReader reader;
     std::string_view rest = text;
     for (int n = 0; n < 50; ++n) {
-      while (reader.feed(rest, most) == Status::more) ASSERT_FALSE(rest.empty());
-      ASSERT_EQ(reader.status(), Status::whole) << reader.error();
+      while (reader.feed(rest, most) == Status::needs_more) ASSERT_FALSE(rest.empty());
+      ASSERT_EQ(reader.status(), Status::complete) << reader.error();
       ASSERT_EQ(reader.version(), n);
       ASSERT_EQ(reader.entries().size(), 1u);
       ASSERT_TRUE(reader.entries().find(std::string("s-").append(std::to_string(n % 7))));
-      reader.next();
+      reader.reset();
     }
-    ASSERT_EQ(feed_all(reader, rest), Status::more);
+    ASSERT_EQ(feed_all(reader, rest), Status::needs_more);
   }
 }
 
@@ -174,12 +175,12 @@
         .append(n < 49'999 ? "\"}," : "\"}]}");
   }
   ListReader reader;
-  ASSERT_EQ(feed_all(reader, text), Status::whole) << reader.error();
+  ASSERT_EQ(feed_all(reader, text), Status::complete) << reader.error();
   EXPECT_EQ(reader.entries().size(), 50'000u);
   EXPECT_GT(reader.entries().bytes(), 2u << 20);
-  reader.next();
+  reader.reset();
   EXPECT_LT(reader.entries().bytes(), 1u << 20);
-  EXPECT_EQ(feed_all(reader, "{\"servers\":[{\"state\":\"DELETED\",\"id\":\"7\"}]}"), Status::whole);
+  EXPECT_EQ(feed_all(reader, "{\"servers\":[{\"state\":\"DELETED\",\"id\":\"7\"}]}"), Status::complete);
   EXPECT_EQ(reader.entries().size(), 1u);
 }
 
@@ -193,7 +194,7 @@
         std::string(R"({"full":true,"servers":[],"full":false})"), std::string(R"({"version":1})"),
         std::string("[]"), std::string("7 "), std::string("\"servers\""), deep, overlong, key}) {
     ListReader reader;
-    EXPECT_EQ(feed_all(reader, text), Status::bad) << text.substr(0, 60);
+    EXPECT_EQ(feed_all(reader, text), Status::invalid) << text.substr(0, 60);
     EXPECT_EQ(reader.error().find('\n'), std::string::npos);
     EXPECT_GT(reader.error().size(), 20u);
   }
@@ -202,17 +203,19 @@
   std::string start = "{\"x\":";
   feed_all(reader, start);
   feed_all(reader, first);
-  for (std::size_t n = 0; n < Bounds::kEntries + 10 && reader.status() == Status::more; n += 64) {
+  for (std::size_t n = 0; n < ListLimits::kMaxElements + 10 && reader.status() == Status::needs_more;
+       n += 64) {
     std::string many;
     for (int i = 0; i < 64; ++i) many.append(more);
     feed_all(reader, many);
   }
-  EXPECT_EQ(reader.status(), Status::bad);
+  EXPECT_EQ(reader.status(), Status::invalid);
   // What is longer than an id may be is passed over, as other entries that cannot be used.
-  reader.next();
-  std::string text = R"({"servers":[{"id":")" + std::string(kMostText + 1, 'i') + R"(","state":"DELETED"},)";
+  reader.reset();
+  std::string text =
+      R"({"servers":[{"id":")" + std::string(kMaxTextBytes + 1, 'i') + R"(","state":"DELETED"},)";
   text.append(R"({"id":"s-1","x":")").append(100'000, 'x').append(R"(","state":"DELETED"}]})");
-  EXPECT_EQ(feed_all(reader, text, 100), Status::whole) << reader.error();
+  EXPECT_EQ(feed_all(reader, text, 100), Status::complete) << reader.error();
   EXPECT_EQ(reader.entries().size(), 1u);
 }
 
@@ -320,8 +323,8 @@
       update = myrtlegrade::parse_list(json::parse(text));
     } catch (const std::exception&) {
     }
-    reader.next();
-    const bool whole = feed_all(reader, text, 1 + below(random, 80)) == Status::whole;
+    reader.reset();
+    const bool whole = feed_all(reader, text, 1 + below(random, 80)) == Status::complete;
     if (update && !whole && reader.error().find("said twice") != std::string::npos) {
       ++twice;  // stricter there, as the header says
       continue;
--- a/tests/catalog_test.cpp
+++ b/tests/catalog_test.cpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "catalog/endpoint_table.h"
 #include "catalog/list_reader.h"
-#include "catalog/table.h"
 
 namespace {
 
@@ -45,7 +45,7 @@
   owned.kind = std::to_string(below(random, 3));
   Entry& entry = owned.entry;
   entry.cell = below(random, cells);
-  entry.state = below(random, 5) == 0 ? State::draining : State::serving;
+  entry.state = below(random, 5) == 0 ? EndpointState::draining : EndpointState::serving;
   entry.address.port = static_cast<std::uint16_t>(random());
   for (int i = 0; i < 4; ++i) entry.address.bytes[i] = static_cast<std::uint8_t>(random());
   if (below(random, 3) == 0)
@@ -73,7 +73,7 @@
   return id.insert(0, "s-").insert(2, length > id.size() ? length - id.size() : 0, '0');
 }
 
-bool put_plain(Table& table, std::uint64_t n, std::size_t length, std::uint64_t cell = 3) {
+bool put_plain(EndpointTable& table, std::uint64_t n, std::size_t length, std::uint64_t cell = 3) {
   const std::string id = id_of(n, length);
   Entry entry;
   entry.id = id;
@@ -88,7 +88,8 @@
   return text ? std::strtoull(text, nullptr, 10) : otherwise;
 }
 
-// What a Table has to be: entries by id, and the ids of each cell in the order in which they came there.
+// What a EndpointTable has to be: entries by id, and the ids of each cell in the order in which they came
+// there.
 struct Model {
   std::map<std::string, Owned> entries;
   std::map<std::uint64_t, std::vector<std::string>> cells;
@@ -114,9 +115,9 @@
   }
 };
 
-void expect_same(const Table& table, const Model& model) {
+void expect_same(const EndpointTable& table, const Model& model) {
   ASSERT_EQ(table.size(), model.entries.size());
-  ASSERT_EQ(table.cells(), model.cells.size());
+  ASSERT_EQ(table.cell_count(), model.cells.size());
   for (const auto& [id, owned] : model.entries) {
     const auto slot = table.find(id);
     ASSERT_TRUE(slot) << id;
@@ -124,13 +125,13 @@
   }
   std::vector<Slot> slots;
   for (const auto& [cell, ids] : model.cells) {
-    table.of_cell(cell, slots);
+    table.slots_of_cell(cell, slots);
     std::vector<std::string> got;
     for (const Slot slot : slots) got.emplace_back(table.at(slot).id);
     ASSERT_EQ(got, ids) << "cell " << cell;
   }
   std::size_t seen = 0;
-  table.for_each(0, table.slots(), [&](Slot slot, const Entry& entry) {
+  table.for_each(0, table.slot_end(), [&](Slot slot, const Entry& entry) {
     ++seen;
     ASSERT_EQ(table.find(entry.id), slot);
   });
@@ -141,7 +142,7 @@
   for (const std::uint64_t ids : {3, 40, 3000}) {
     for (const std::uint64_t cells : {1, 7, 3000}) {
       Random random(ids * 7 + cells);
-      Table table;
+      EndpointTable table;
       Model model;
       for (int step = 0; step < 20'000; ++step) {
         // Long times of growing and of shrinking, so that the indices do both.
@@ -165,7 +166,7 @@
 TEST(CatalogTable, StaysFlatUnderEndlessChange) {
   const std::uint64_t changes = from_environment("CATALOG_CHANGES", 1'000'000);
   constexpr std::uint64_t kLive = 20'000;
-  Table table;
+  EndpointTable table;
   Random random(1);
   std::size_t settled = 0, most = 0;
   for (std::uint64_t n = 0; n < changes; ++n) {
@@ -177,7 +178,7 @@
     // One that is anywhere among the oldest half goes, and now and then half of all at once.
     while (table.size() > (n % 500'000 == 499'999 ? kLive / 2 : kLive)) {
       std::string gone;
-      const auto from = static_cast<Slot>(below(random, table.slots()));
+      const auto from = static_cast<Slot>(below(random, table.slot_end()));
       table.for_each(from, 1, [&](Slot, const Entry& entry) { gone = entry.id; });
       if (!gone.empty()) {
         ASSERT_TRUE(table.erase(gone));
@@ -191,11 +192,11 @@
 }
 
 TEST(CatalogTable, GivesBackInSlicesAndIsThenAsNew) {
-  Table table;
+  EndpointTable table;
   for (std::uint64_t n = 0; n < 50'000; ++n) ASSERT_TRUE(put_plain(table, n, 10));
   const std::size_t full = table.bytes();
   int slices = 0;
-  while (!table.release(256 << 10)) {
+  while (!table.release_memory(256 << 10)) {
     ++slices;
     EXPECT_FALSE(table.find(id_of(3, 10)));
     EXPECT_EQ(table.size(), 0u);
@@ -207,11 +208,11 @@
 }
 
 TEST(CatalogTable, GoesOnWhereForEachStoppedAlsoWhenItChanges) {
-  Table table;
+  EndpointTable table;
   for (std::uint64_t n = 0; n < 1000; ++n) ASSERT_TRUE(put_plain(table, n, 10));
   std::map<std::string, int> seen;
   Slot from = 0;
-  for (std::uint64_t step = 0; from < table.slots(); ++step) {
+  for (std::uint64_t step = 0; from < table.slot_end(); ++step) {
     from = table.for_each(from, 7, [&](Slot, const Entry& entry) { ++seen[std::string(entry.id)]; });
     table.erase(id_of(step * 3, 10));                // those of a multiple of 3 below 429 go
     ASSERT_TRUE(put_plain(table, 5000 + step, 10));  // new ones may be seen, or not
@@ -222,11 +223,11 @@
       EXPECT_EQ(seen[id_of(n, 10)], 1) << n;
     }
   }
-  EXPECT_EQ(table.for_each(table.slots() + 5, 7, [](Slot, const Entry&) {}), table.slots() + 5);
+  EXPECT_EQ(table.for_each(table.slot_end() + 5, 7, [](Slot, const Entry&) {}), table.slot_end() + 5);
 }
 
 TEST(CatalogTable, MayBePutWithItsOwnTexts) {
-  Table table;
+  EndpointTable table;
   for (std::uint64_t n = 0; n < 100; ++n) ASSERT_TRUE(put_plain(table, n, 30 + n));
   const std::string zone(40, 'z');
   for (std::uint64_t n = 0; n < 100; ++n) {
@@ -244,10 +245,10 @@
 }
 
 TEST(CatalogTable, RefusesWhatItHasNoRoomFor) {
-  Table table;
+  EndpointTable table;
   Entry entry;
   EXPECT_FALSE(table.put(entry));  // no id
-  const std::string longest(kMostText, 'l'), longer(kMostText + 1, 'l');
+  const std::string longest(kMaxTextBytes, 'l'), longer(kMaxTextBytes + 1, 'l');
   for (std::string_view Entry::*text : {&Entry::id, &Entry::zone, &Entry::kind}) {
     entry = {};
     entry.id = "s-1";
@@ -258,7 +259,7 @@
     EXPECT_EQ(table.at(*table.find(entry.id)), entry);
   }
   // More pairs of zone and kind than are kept: what is there stays as it is.
-  Table zones;
+  EndpointTable zones;
   std::size_t taken = 0;
   for (int n = 0; n < 20'000; ++n) {
     const std::string zone = std::to_string(n);
@@ -331,8 +332,8 @@
       taken += piece.size();
       piece.clear();
     }
-    ASSERT_EQ(reader.status(), ListReader::Status::whole) << reader.error();
-    Table table = reader.take_entries();
+    ASSERT_EQ(reader.status(), ListReader::Status::complete) << reader.error();
+    EndpointTable table = reader.take_entries();
     ASSERT_EQ(table.size(), entries);
     const double each = static_cast<double>(table.bytes()) / static_cast<double>(entries);
     const double in_memory = static_cast<double>(resident_bytes() - before) / static_cast<double>(entries);
@@ -364,11 +365,11 @@
           "]}\n";
       std::string_view rest = text;
       const auto start = Clock::now();
-      reader.next();
-      ASSERT_EQ(reader.feed(rest, 64 << 10), ListReader::Status::whole);
+      reader.reset();
+      ASSERT_EQ(reader.feed(rest, 64 << 10), ListReader::Status::complete);
       const auto applied = Clock::now();
       reader.entries().for_each(0, 10, [&](Slot, const Entry& entry) {
-        if (entry.state == State::deleted) {
+        if (entry.state == EndpointState::deleted) {
           table.erase(entry.id);
         } else {
           table.put(entry);
@@ -388,7 +389,7 @@
     int slices = 0;
     for (bool done = false; !done; ++slices) {
       const auto start = Clock::now();
-      done = table.release(1 << 20);
+      done = table.release_memory(1 << 20);
       slice = std::max(slice, ms_since(start));
     }
     std::printf("  given back in %d slices of 1 MB, longest %.2f ms\n", slices, slice);
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -243,7 +243,7 @@
   self.seat.address = frames[0].to.address;
   self.machine = "m1";
   Copies holder({}, self, {}, 3, a.now);
-  myrtlegrade::Reader in(frames[0].frame);
+  myrtlegrade::RecordReader in(frames[0].frame);
   const auto frame = copies::decode_frame(*in.record());
   ASSERT_TRUE(frame);
   holder.receive(a.now, "n0", *frame);
@@ -257,7 +257,7 @@
   a.copies->take(a.now, "a", Alone::item(a.now + 5s));
   a.copies->flush(a.now);
   const std::string record = a.copies->take_frames().front().frame;
-  const std::string bytes = record.substr(myrtlegrade::kRecordHeader);
+  const std::string bytes = record.substr(myrtlegrade::kRecordHeaderBytes);
   ASSERT_TRUE(copies::decode_frame(bytes));
   for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(copies::decode_frame(bytes.substr(0, n))) << n;
   EXPECT_FALSE(copies::decode_frame(bytes + "x"));
--- a/tests/discovery_series_test.cpp
+++ b/tests/discovery_series_test.cpp
@@ -142,10 +142,10 @@
       bool ended = false;
       for (std::string_view bytes = piece.bytes; !bytes.empty();) {
         const auto status = read_watch(reader, bytes, ended);
-        if (status == ListReader::Status::bad) return lost(at);
-        if (status != ListReader::Status::whole) continue;
+        if (status == ListReader::Status::invalid) return lost(at);
+        if (status != ListReader::Status::complete) continue;
         take(at, reader);
-        reader.next();
+        reader.reset();
       }
       if (piece.what == Piece::What::body) clock.came(at, piece.bytes.size(), ended);
       deadline = std::min(clock.deadline(), versions_.deadline());
@@ -163,9 +163,9 @@
     if (on_request_) step(at, {HostList{HostList::Kind::whole, {}}});
   }
   // The last that was listed.
-  static std::optional<int> newest(const valedrum::catalog::Table& entries) {
+  static std::optional<int> newest(const valedrum::catalog::EndpointTable& entries) {
     std::optional<int> last;
-    entries.for_each(0, entries.slots(),
+    entries.for_each(0, entries.slot_end(),
                      [&](auto, const auto& entry) { last = std::stoi(std::string(entry.id)); });
     return last;
   }
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -75,7 +75,7 @@
 
  private:
   bool listed(const ListReader& list) {
-    list.entries().for_each(0, list.entries().slots(), [this](auto, const auto& entry) {
+    list.entries().for_each(0, list.entries().slot_end(), [this](auto, const auto& entry) {
       const int number = std::stoi(std::string(entry.id));
       if (number == kChange && !told_) told_ = SteadyClock::now();
       old_ = old_ || number == 1;
--- a/tests/fleet_config_test.cpp
+++ b/tests/fleet_config_test.cpp
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "bytes.h"
+#include "record_codec.h"
 
 namespace myrtlegrade {
 namespace {
@@ -71,7 +71,7 @@
   const auto write = [&](const std::string& bytes) {
     std::ofstream(folder + "/fleet", std::ios::binary | std::ios::trunc) << bytes;
   };
-  const std::string whole = Writer(1).text("f").text("a").number(7).record();
+  const std::string whole = RecordWriter(1).text("f").text("a").number(7).record();
   for (std::size_t n = 0; n < whole.size(); ++n) {
     write(whole.substr(0, n));
     EXPECT_EQ(of("f", "a"), 0U) << n;
@@ -80,7 +80,7 @@
     write(flipped);
     EXPECT_EQ(of("f", "a"), 0U) << n;
   }
-  write(Writer(2).text("f").text("a").number(7).record());
+  write(RecordWriter(2).text("f").text("a").number(7).record());
   EXPECT_THROW(of("f", "a"), std::runtime_error);
   FleetIdentity nowhere(folder + "/missing", "f", "a");
   EXPECT_FALSE(nowhere.keep(1));
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -20,10 +20,10 @@
   while (frame && static_cast<Frame>(frame->front()) != Frame::over) {
     const Frame kind = static_cast<Frame>(frame->front());
     if (kind == Frame::hello) {
-      link->send(Writer(Frame::hello).number(kLinkVersion));
+      link->send(RecordWriter(Frame::hello).number(kLinkVersion));
       old->signal(SIGTERM);
     }
-    if (kind == Frame::prepare) link->send(Writer(Frame::prepared));
+    if (kind == Frame::prepare) link->send(RecordWriter(Frame::prepared));
     frame = co_await link->receive();
   }
   EXPECT_TRUE(frame) << "nothing was given over";
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -79,7 +79,7 @@
     ASSERT_TRUE(journal.flush());
   }
   std::ofstream(file(), std::ios::app)
-      << Writer(RecordKind::accept)
+      << RecordWriter(RecordKind::accept)
              .text("b")
              .text("receipt")
              .number(7)
@@ -87,7 +87,7 @@
              .text("b")
              .time(at.wall)
              .record()
-      << Writer(RecordKind::attempt).text("b").text("h").text("z").time(at.wall).record();
+      << RecordWriter(RecordKind::attempt).text("b").text("h").text("z").time(at.wall).record();
   const auto messages = Journal(folder_, 3'000'000).take_messages();
   ASSERT_EQ(messages.size(), 2U);
   const auto whole = [](const Moment& m) { return std::tuple(m.wall, m.boot, m.steady); };
@@ -115,7 +115,7 @@
 
 // An earlier program would cut off the records that it does not know: it has to find out first.
 TEST_F(JournalTest, AFileOfAnEarlierProgramTellsTheNewFormatBeforeNewRecords) {
-  std::ofstream(file()) << Writer(RecordKind::format).number(2).record();
+  std::ofstream(file()) << RecordWriter(RecordKind::format).number(2).record();
   {
     Journal journal(folder_, 3'000'000);
     journal.accept(message("a"));
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -58,14 +58,14 @@
   HostList take(const std::vector<Said>& entries, bool full, std::int64_t version = 1) {
     const std::string text = text_of(entries, full, version);
     std::string_view rest = text;
-    EXPECT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::whole) << reader_.error();
+    EXPECT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete) << reader_.error();
     events_.clear();
     if (full) {
       endpoints_.take_whole(version, reader_.take_entries(), HostList::Kind::whole, events_);
     } else {
       EXPECT_FALSE(endpoints_.take_changes(version, reader_.entries(), true, events_));
     }
-    reader_.next();
+    reader_.reset();
     return std::get<HostList>(events_.at(0));
   }
   HostList wake(std::uint64_t cell) {
@@ -120,7 +120,7 @@
   EXPECT_EQ(names(take({{"e50", 50, "DRAINING"}, {"e51", 51, "DRAINING"}}, false)), Names{"e50"});
   // Kept of those that sleep too.
   const catalog::Entry rests = endpoints_.list().at(endpoints_.list().find("e51").value());
-  EXPECT_EQ(rests.state, catalog::State::draining);
+  EXPECT_EQ(rests.state, catalog::EndpointState::draining);
   EXPECT_EQ(rests.zone, "z-e51");
   EXPECT_EQ(rests.weight, 2.5);
   EXPECT_EQ(rests.started_ms, 1'700'000'000'000);
@@ -224,7 +224,7 @@
   take(many(10), true, 4);
   const std::string text = text_of(many(3'000), false, 9);
   std::string_view rest = text;
-  ASSERT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::whole);
+  ASSERT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete);
   int parts = 1;
   for (bool first = true; endpoints_.take_changes(9, reader_.entries(), first, events_); first = false) {
     EXPECT_EQ(endpoints_.version(), 4);
@@ -239,7 +239,7 @@
   take(many(100), true);
   std::size_t before = 0;
   for (std::uint64_t i = 100; i < 100'000; ++i) {
-    catalog::Table change;
+    catalog::EndpointTable change;
     const std::string comes = nth(i), goes = nth(i - 100);
     catalog::Entry entry;
     entry.id = comes;
@@ -247,7 +247,7 @@
     entry.cell = i;
     change.put(entry);
     entry.id = goes;
-    entry.state = catalog::State::deleted;
+    entry.state = catalog::EndpointState::deleted;
     change.put(entry);
     endpoints_.take_changes(1, change, true, events_);
     wake(i);
