--- a/relay/admin_server.cpp
+++ b/relay/admin_server.cpp
@@ -63,7 +63,7 @@
       co_await pause_.async_wait(kAwait);
       continue;
     }
-    while (callers_.size() >= kMostCallers) make_room();
+    while (callers_.size() >= kMaxConnections) make_room();
     spawn(executor_, serve(callers_.emplace_back(std::make_shared<Caller>(std::move(socket)))));
   }
 }
--- a/relay/admin_server.h
+++ b/relay/admin_server.h
@@ -20,7 +20,7 @@
   // Called once for each line; the reply may come at once or later, but must come.
   using OnCall = std::function<void(std::string line, Reply reply)>;
 
-  static constexpr std::size_t kMostCallers = 8;  // descriptors that are set aside for them
+  static constexpr std::size_t kMaxConnections = 8;  // descriptors that are set aside for them
 
   // Throws boost::system::system_error if the address can't be listened on.
   AdminServer(boost::asio::any_io_executor executor, const Endpoint& listen, OnCall on_call);
--- a/relay/command_call.cpp
+++ b/relay/command_admin.cpp
@@ -1,4 +1,4 @@
-#include "command_call.h"
+#include "command_admin.h"
 
 #include <boost/json.hpp>
 #include <iostream>
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Endpoint CallCommand::address() const {
+Endpoint AdminCommand::address() const {
   if (!admin.empty()) return parse_endpoint(admin, "--admin");
   if (const std::string own = from_environment("PROXY_ADMIN_ADDR"); !own.empty()) {
     return parse_endpoint(own, "PROXY_ADMIN_ADDR");
@@ -32,7 +32,7 @@
   return *c.admin;
 }
 
-int CallCommand::run() const {
+int AdminCommand::run() const {
   if (id.find_first_of(" \r\n") != std::string::npos) throw std::runtime_error("an ID has no blanks");
   const Endpoint at = address();
   const std::string line = id.empty() ? verb : verb + " " + id;
--- a/relay/command_call.h
+++ b/relay/command_admin.h
@@ -7,7 +7,7 @@
 
 namespace myrtlegrade {
 
-struct CallCommand {
+struct AdminCommand {
   std::string verb, id;       // id: of an endpoint; empty: none
   std::string admin, config;  // the address, or the file that names it; empty: from the environment
   bool as_json = false;
--- a/relay/command_check.cpp
+++ b/relay/command_check.cpp
@@ -104,11 +104,11 @@
        : admin.empty() ? "default"
                        : "PROXY_ADMIN_ADDR"},
       {"state_folder", json::value(folder), folder.empty() ? "not given" : state_from},
-      {"sockets", json::value(c.sockets), file},
-      {"disk_bytes", json::value(c.disk_bytes), file},
+      {"sockets", json::value(c.descriptor_limit), file},
+      {"disk_bytes", json::value(c.journal_disk_bytes), file},
       {"durability", json::value(c.durability == valedrum::recovery::Durability::power ? "power" : "process"),
        file},
-      {"known_endpoints", json::value(c.known->entries.size()), file},
+      {"known_endpoints", json::value(c.known_hosts->entries.size()), file},
       {"slots", json::value(s.slots), file},
       {"max_open", json::value(s.max_open), file},
       {"max_attempts", json::value(s.max_attempts), file},
@@ -127,7 +127,7 @@
                   c.copies ? file : "default"});
   if (c.copies) {
     rows.push_back({"copies_bind", json::value(to_text(c.copies->bind)), file});
-    rows.push_back({"copies_disk_bytes", json::value(c.copies_disk), file});
+    rows.push_back({"copies_disk_bytes", json::value(c.copies_disk_bytes), file});
   }
   if (c.fleet) {
     rows.push_back({"fleet_bind", json::value(to_text(c.fleet->bind)), file});
--- a/relay/command_view.h
+++ b/relay/command_view.h
@@ -4,11 +4,11 @@
 #include <string>
 #include <vector>
 
-#include "command_call.h"
+#include "command_admin.h"
 
 namespace myrtlegrade {
 
-struct ViewCommand : CallCommand {
+struct ViewCommand : AdminCommand {
   std::vector<std::string> others;  // second addresses whose views are held side by side
 
   // Prints the view, and returns the exit status.
--- a/relay/commands.cpp
+++ b/relay/commands.cpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "command_call.h"
+#include "command_admin.h"
 #include "command_check.h"
 #include "command_journal.h"
 #include "command_line.h"
@@ -17,7 +17,7 @@
 void add_call(CLI::App& app, int& status, const char* name, const char* verb, const char* what,
               bool with_id) {
   CLI::App* sub = app.add_subcommand(name, what);
-  const auto call = std::make_shared<CallCommand>();
+  const auto call = std::make_shared<AdminCommand>();
   call->verb = verb;
   if (with_id) sub->add_option("ID", call->id, "The endpoint's id, as discovery has it")->required();
   sub->add_option("--admin", call->admin,
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -104,7 +104,7 @@
 
 constexpr std::size_t kReadSize = 64 << 10;
 
-Config parse(ConfigText& source, const std::string& state_folder, std::size_t descriptors) {
+Config parse(ConfigReader& source, const std::string& state_folder, std::size_t descriptors) {
   boost::system::error_code error;
   const json::value parsed = json::parse(source.rest(), error);
   if (error) throw std::invalid_argument("config: not JSON: " + error.message());
@@ -119,8 +119,8 @@
     config.admin = parse_endpoint(text(root, "admin_addr"), "config: admin_addr");
   config.state_folder = state_folder;
   const json::object& limits = object_at(root, "limits");
-  config.sockets = std::min(static_cast<std::size_t>(limit(limits, "sockets")), descriptors);
-  config.disk_bytes = static_cast<std::uint64_t>(limit(limits, "disk_mb") * 1e6);
+  config.descriptor_limit = std::min(static_cast<std::size_t>(limit(limits, "sockets")), descriptors);
+  config.journal_disk_bytes = static_cast<std::uint64_t>(limit(limits, "disk_mb") * 1e6);
 
   std::ostringstream line;
   config.seed = parse_seed(text(root, "seed"));
@@ -135,14 +135,14 @@
   if (const json::value* known = root.if_contains("known"); known && known->is_object()) {
     reject("known", "its name may not be written with escapes");
   }
-  config.known = std::make_shared<WholeList>(source.take_known());
+  config.known_hosts = std::make_shared<WholeList>(source.take_known_hosts());
 
   if (const json::value* fleet = root.if_contains("fleet")) {
     if (!fleet->is_object()) reject("fleet", "not an object");
     const json::value* zone = object_at(root, "settings").if_contains("zone");
     config.fleet = parse_fleet(fleet->as_object(), zone ? scalar(*zone) : "");
-    if (config.sockets <= kFleetDescriptors) reject("limits.sockets", "too few for a fleet");
-    config.sockets -= kFleetDescriptors;
+    if (config.descriptor_limit <= kFleetDescriptors) reject("limits.sockets", "too few for a fleet");
+    config.descriptor_limit -= kFleetDescriptors;
   }
   if (root.contains("durability")) {
     const std::string durability = text(root, "durability");
@@ -152,12 +152,13 @@
   if (const json::value* copies = root.if_contains("copies")) {
     if (!copies->is_object()) reject("copies", "not an object");
     if (!config.fleet) reject("copies", "needs a fleet");
-    config.copies = parse_copies(copies->as_object(), config.disk_bytes);
-    config.copies_disk = static_cast<std::uint64_t>(static_cast<double>(config.disk_bytes) * kCopiesDisk);
-    config.disk_bytes -= config.copies_disk;
+    config.copies = parse_copies(copies->as_object(), config.journal_disk_bytes);
+    config.copies_disk_bytes =
+        static_cast<std::uint64_t>(static_cast<double>(config.journal_disk_bytes) * kCopiesDisk);
+    config.journal_disk_bytes -= config.copies_disk_bytes;
     const std::size_t needed = copies_descriptors(*config.copies);
-    if (config.sockets <= 2 * needed) reject("limits.sockets", "too few for copies");
-    config.sockets -= needed;
+    if (config.descriptor_limit <= 2 * needed) reject("limits.sockets", "too few for copies");
+    config.descriptor_limit -= needed;
   }
   return config;
 }
@@ -165,17 +166,17 @@
 }  // namespace
 
 Config parse_config(const std::string& source, const std::string& state_folder, std::size_t descriptors) {
-  ConfigText text(ConfigText::Known::read);
+  ConfigReader text(ConfigReader::KnownHosts::read);
   text.feed(source);
   return parse(text, state_folder, descriptors);
 }
 
-Config load_config(ConfigText::Known known) {
+Config load_config(ConfigReader::KnownHosts known) {
   const std::string path = environment("PROXY_CONFIG");
   const std::string state_folder = environment("PROXY_STATE");
   const auto read_at = std::chrono::steady_clock::now();
   std::ifstream file(path, std::ios::binary);
-  ConfigText source(known);
+  ConfigReader source(known);
   std::vector<char> piece(kReadSize);
   do {
     file.read(piece.data(), static_cast<std::streamsize>(piece.size()));
--- a/relay/config_text.cpp
+++ b/relay/config_reader.cpp
@@ -1,4 +1,4 @@
-#include "config_text.h"
+#include "config_reader.h"
 
 #include <stdexcept>
 
@@ -6,7 +6,7 @@
 
 using valedrum::catalog::ListReader;
 
-void ConfigText::feed(std::string_view bytes) {
+void ConfigReader::feed(std::string_view bytes) {
   while (!bytes.empty()) {
     if (reading_) {
       const ListReader::Status status = reader_.feed(bytes, bytes.size());
@@ -31,7 +31,7 @@
 }
 
 // Knows of JSON where texts end, and how deep it is; what is wrong with the rest its own parser says.
-void ConfigText::scan(char c) {
+void ConfigReader::scan(char c) {
   if (!passing_over_) rest_ += c;
   if (in_text_) {
     if (!escaped_ && c == '"') {
--- a/relay/config_text.h
+++ b/relay/config_reader.h
@@ -11,17 +11,17 @@
 
 namespace myrtlegrade {
 
-class ConfigText {
+class ConfigReader {
  public:
-  enum class Known { read, pass_over };
-  explicit ConfigText(Known known) : read_known_(known == Known::read) {}
+  enum class KnownHosts { read, skip };
+  explicit ConfigReader(KnownHosts known_hosts) : read_known_(known_hosts == KnownHosts::read) {}
 
   // Throws std::invalid_argument where the list can't be read.
   void feed(std::string_view bytes);
 
   // Once all has come: the text with null in place of the list. Of a list that is cut the rest is no JSON.
   const std::string& rest() const { return rest_; }
-  WholeList take_known() { return std::move(known_); }
+  WholeList take_known_hosts() { return std::move(known_); }
 
  private:
   void scan(char c);
--- a/relay/copies_log.cpp
+++ b/relay/copies_log.cpp
@@ -17,7 +17,7 @@
 }
 
 void log_ownership(EventLog& log, const std::string& from, const copies::Word& word) {
-  if (!log.admits()) return;
+  if (!log.allow_line()) return;
   std::ostringstream text;
   text << name_of(word.say.kind) << " from=" << from << " group=" << word.group.origin << '/'
        << word.group.number << " epoch=" << word.say.epoch;
--- a/relay/copy_net.cpp
+++ b/relay/copy_net.cpp
@@ -178,7 +178,7 @@
     return;
   }
   const std::uint64_t size = file_.size();
-  syncer_->after([self = shared_from_this(), frames = std::move(frames), size](bool synced) {
+  syncer_->run_after_sync([self = shared_from_this(), frames = std::move(frames), size](bool synced) {
     if (self->stopped_) return;
     if (!synced) {  // what it covered may be gone: nothing is said any more, and others act on it
       std::cerr << "myrtlegrade: copies: a sync has failed: no more are made or held" << std::endl;
--- a/relay/counters.cpp
+++ b/relay/counters.cpp
@@ -12,10 +12,12 @@
 std::string_view name_of(vetchhinge::Result result) { return kResultNames[static_cast<std::size_t>(result)]; }
 
 std::ostream& operator<<(std::ostream& out, const Counters& c) {
-  out << "taken=" << c.taken << " turned_away=" << c.turned_away << " refused=" << c.refused
-      << " delivered=" << c.delivered << " given_up=" << c.given_up << " repeats=" << c.repeats;
+  out << "taken=" << c.accepted << " turned_away=" << c.rejected_without_room
+      << " refused=" << c.rejected_by_policy << " delivered=" << c.delivered << " given_up=" << c.given_up
+      << " repeats=" << c.retries;
   for (std::size_t i = 0; i < kResultNames.size(); ++i) out << ' ' << kResultNames[i] << '=' << c.outcomes[i];
-  return out << " lists=" << c.lists << " lists_lost=" << c.lists_lost << " violations=" << c.violations;
+  return out << " lists=" << c.list_updates << " lists_lost=" << c.watch_failures
+             << " violations=" << c.violations;
 }
 
 }  // namespace myrtlegrade
--- a/relay/counters.h
+++ b/relay/counters.h
@@ -13,18 +13,18 @@
 struct Counters {
   static constexpr std::size_t kResults = 8;
 
-  std::uint64_t taken = 0;        // messages
-  std::uint64_t turned_away = 0;  // by the relay itself, for want of room
-  std::uint64_t refused = 0;      // by the module
+  std::uint64_t accepted = 0;               // messages
+  std::uint64_t rejected_without_room = 0;  // by the relay itself, for want of room
+  std::uint64_t rejected_by_policy = 0;     // by the module
   std::uint64_t delivered = 0;
   std::uint64_t given_up = 0;
-  std::uint64_t repeats = 0;                       // attempts after a message's first
+  std::uint64_t retries = 0;                       // attempts after a message's first
   std::array<std::uint64_t, kResults> outcomes{};  // of attempts, by result
-  std::uint64_t lists = 0;                         // whole lists and changes taken
-  std::uint64_t lists_lost = 0;                    // watches that failed or broke
+  std::uint64_t list_updates = 0;                  // whole lists and changes taken
+  std::uint64_t watch_failures = 0;                // watches that failed or broke
   std::uint64_t violations = 0;  // calls that the relay's own check stopped: 0, or the program has a fault
 
-  void outcome(vetchhinge::Result result) { ++outcomes[static_cast<std::size_t>(result)]; }
+  void count_outcome(vetchhinge::Result result) { ++outcomes[static_cast<std::size_t>(result)]; }
   bool operator==(const Counters&) const = default;
 };
 
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -121,7 +121,7 @@
     ++spoilt_;
     std::cerr << "discovery: a list of the watch was cut after byte " << reader.taken() << '\n';
   }
-  give_back(executor_, reader.take_entries());
+  release_in_slices(executor_, reader.take_entries());
 }
 
 // False: the list held may lack what one said that can't be read, or another watch counts by now.
@@ -142,7 +142,7 @@
         if (watch_ != connection) co_return false;
       }
     }
-    if (reader.entries().size() > kMostCleared) give_back(executor_, reader.take_entries());
+    if (reader.entries().size() > kMostCleared) release_in_slices(executor_, reader.take_entries());
     reader.next();
   }
   co_return true;
--- a/relay/endpoints.cpp
+++ b/relay/endpoints.cpp
@@ -142,7 +142,7 @@
     change.named.push_back(id);
     dialect_.hosts.release_name(static_cast<std::uint32_t>(id));
     id = number(name);
-    if (journal_.banned().contains(name)) change.out_by_hand.push_back(id);
+    if (journal_.disabled_hosts().contains(name)) change.out_by_hand.push_back(id);
   }
   Host& host = hosts_[id];
   if (host.running) change.ran.push_back(id);
@@ -182,7 +182,7 @@
       if (kind_of(entry) && !list_.serves(entry.cell)) gone_.add(entry.cell);
     });
     old.looked_through = old.next >= old.list.slots();
-  } else if (old.list.release(kGivenBack)) {
+  } else if (old.list.release(kReleaseBytesPerSlice)) {
     replaced_.pop_front();
   }
   return !replaced_.empty();
@@ -255,7 +255,8 @@
   if (found->second.member) std::erase(awake_.at(found->second.cell), id);
   hosts_.erase(found);
   // What is taken out by hand comes back under its number: the module knows the ban by it.
-  if (journal_.banned().contains(name(id)) && dialect_.hosts.find(name(id)) == static_cast<std::uint32_t>(id))
+  if (journal_.disabled_hosts().contains(name(id)) &&
+      dialect_.hosts.find(name(id)) == static_cast<std::uint32_t>(id))
     return;
   dialect_.hosts.forget(static_cast<std::uint32_t>(id));
 }
--- a/relay/event_log.cpp
+++ b/relay/event_log.cpp
@@ -7,7 +7,7 @@
 
 namespace myrtlegrade {
 
-bool EventLog::admits() {
+bool EventLog::allow_line() {
   const Clock::time_point now = Clock::now();
   const double passed = std::chrono::duration<double>(now - refilled_).count();
   refilled_ = now;
--- a/relay/event_log.h
+++ b/relay/event_log.h
@@ -19,8 +19,8 @@
   explicit EventLog(std::string_view subject) : subject_(subject) {}
 
   // True: a line may be written now, and counts.
-  bool admits();
-  // One that admits() let through; `what` names the event, `text` its fields.
+  bool allow_line();
+  // One that allow_line() let through; `what` names the event, `text` its fields.
   void write(std::string_view what, std::string_view text);
 
  private:
--- a/relay/fleet.cpp
+++ b/relay/fleet.cpp
@@ -128,7 +128,7 @@
 // What others hear must not be newer than what this relay knows after a crash.
 void Fleet::turn() {
   if (stopped_ || !datagrams_.is_open()) return;
-  if (members_->incarnation() != identity_.incarnation() && !identity_.keep(members_->incarnation())) {
+  if (members_->incarnation() != identity_.incarnation() && !identity_.save(members_->incarnation())) {
     std::cerr << "myrtlegrade: fleet: the incarnation can't be written; a restart learns it from others"
               << std::endl;
   }
--- a/relay/fleet_config.cpp
+++ b/relay/fleet_config.cpp
@@ -126,7 +126,7 @@
   return nullptr;
 }
 
-bool FleetIdentity::keep(std::uint64_t incarnation) {
+bool FleetIdentity::save(std::uint64_t incarnation) {
   incarnation_ = incarnation;
   const std::string bytes = Writer(Written::version_1).text(fleet_).text(name_).number(incarnation).record();
   const std::string path = folder_ + "/fleet", fresh = path + ".new";
--- a/relay/fleet_config.h
+++ b/relay/fleet_config.h
@@ -32,7 +32,7 @@
 
   std::uint64_t incarnation() const { return incarnation_; }  // 0: none is known
   // On disk when it returns true: the file and its name.
-  bool keep(std::uint64_t incarnation);
+  bool save(std::uint64_t incarnation);
 
  private:
   const char* read(const std::string& bytes);
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -95,18 +95,18 @@
   if (r->kind == Kind::accept) accept(r->message);
   if (r->kind == Kind::attempt) {
     const auto found = index_.find(r->id);
-    if (found != index_.end()) attempt(r->id, live_.at(found->second).attempts, r->attempt);
+    if (found != index_.end()) record_attempt(r->id, live_.at(found->second).attempts, r->attempt);
   }
   if (r->kind == Kind::numbered_attempt) {
-    attempt(r->id, static_cast<std::uint32_t>(r->number), r->attempt);
+    record_attempt(r->id, static_cast<std::uint32_t>(r->number), r->attempt);
   }
-  if (r->kind == Kind::never_ran) never_ran(r->id, static_cast<std::uint32_t>(r->number));
-  if (r->kind == Kind::end) end(r->id);
-  if (r->kind == Kind::end_owing) end_owing(r->notice, r->ended);
+  if (r->kind == Kind::never_ran) record_never_ran(r->id, static_cast<std::uint32_t>(r->number));
+  if (r->kind == Kind::end) complete(r->id);
+  if (r->kind == Kind::end_owing) complete_with_notice(r->notice, r->ended);
   if (r->ended) ended_.remember(r->ended_id, *r->ended, read_clocks());
-  if (r->kind == Kind::notice_settled) notice_settled(r->id);
-  if (r->kind == Kind::ban) ban(r->id);
-  if (r->kind == Kind::lift) lift(r->id);
+  if (r->kind == Kind::notice_settled) settle_notice(r->id);
+  if (r->kind == Kind::ban) disable_host(r->id);
+  if (r->kind == Kind::lift) enable_host(r->id);
   pending_written();  // it is in the file already
   return true;
 }
@@ -143,7 +143,7 @@
   append(id, std::move(record));
 }
 
-void Journal::attempt(const std::string& id, std::uint32_t number, const StoredAttempt& a) {
+void Journal::record_attempt(const std::string& id, std::uint32_t number, const StoredAttempt& a) {
   const auto found = index_.find(id);
   if (found == index_.end()) return;
   Live& live = live_.at(found->second);
@@ -153,7 +153,7 @@
   extend_live(id, live, write(out, a.sent).record());
 }
 
-void Journal::never_ran(const std::string& id, std::uint32_t number) {
+void Journal::record_never_ran(const std::string& id, std::uint32_t number) {
   const auto found = index_.find(id);
   if (found == index_.end()) return;
   Live& live = live_.at(found->second);
@@ -170,18 +170,18 @@
   index_.erase(found);
 }
 
-void Journal::remember(const std::string& id, const Ended& ended) {
+void Journal::remember_completed(const std::string& id, const Ended& ended) {
   ended_.remember(fingerprint(id), ended, read_clocks());
 }
 
-void Journal::end(const std::string& id) { end(id, Writer(Kind::end).text(id).record()); }
+void Journal::complete(const std::string& id) { complete(id, Writer(Kind::end).text(id).record()); }
 
-void Journal::end(const std::string& id, const Ended& ended) {
-  remember(id, ended);
-  end(id, end_record(id, ended));
+void Journal::complete(const std::string& id, const Ended& ended) {
+  remember_completed(id, ended);
+  complete(id, end_record(id, ended));
 }
 
-void Journal::end(const std::string& id, std::string record) {
+void Journal::complete(const std::string& id, std::string record) {
   const auto found = index_.find(id);
   if (found == index_.end()) return;
   if (live_.at(found->second).written) {
@@ -192,17 +192,17 @@
   forget(id);
 }
 
-bool Journal::may_be_found(const std::string& id) const {
+bool Journal::may_survive_restart(const std::string& id) const {
   const auto found = index_.find(id);
   return torn_ || (found != index_.end() && live_.at(found->second).written);
 }
 
-void Journal::end_owing(const Notice& n, const std::optional<Ended>& ended) {
+void Journal::complete_with_notice(const Notice& n, const std::optional<Ended>& ended) {
   Writer out(Kind::end_owing);
   out.text(n.message).number(n.handed_back ? 1 : 0).number(static_cast<std::uint64_t>(n.retry_in.count()));
   if (ended) {
     write(out, *ended);
-    remember(n.message, *ended);
+    remember_completed(n.message, *ended);
   }
   const std::string record = out.record();
   const auto found = index_.find(n.message);
@@ -212,21 +212,21 @@
   add_live(n.message, {record, record.size(), 0, written});
 }
 
-void Journal::notice_settled(const std::string& id) {
+void Journal::settle_notice(const std::string& id) {
   if (!index_.contains(id)) return;
   append(id, Writer(Kind::notice_settled).text(id).record());
   forget(id);
 }
 
-void Journal::ban(const std::string& host) {
-  if (!banned_.insert(host).second) return;
+void Journal::disable_host(const std::string& host) {
+  if (!disabled_hosts_.insert(host).second) return;
   const std::string record = Writer(Kind::ban).text(host).record();
   reserved_ += record.size();
   append({}, record);
 }
 
-void Journal::lift(const std::string& host) {
-  if (banned_.erase(host) == 0) return;
+void Journal::enable_host(const std::string& host) {
+  if (disabled_hosts_.erase(host) == 0) return;
   reserved_ -= Writer(Kind::ban).text(host).record().size();
   append({}, Writer(Kind::lift).text(host).record());
 }
@@ -247,7 +247,7 @@
 
 std::string Journal::live_records() const {
   std::string text = Writer(Kind::format).number(kJournalFormat).record();
-  for (const std::string& host : banned_) text += Writer(Kind::ban).text(host).record();
+  for (const std::string& host : disabled_hosts_) text += Writer(Kind::ban).text(host).record();
   for (const auto& [number, entry] : live_) text += entry.records;
   return text;
 }
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -48,7 +48,7 @@
   bool handed_back = false;  // otherwise given up
   std::chrono::milliseconds retry_in{};
   // When the platform has to have it, by the steady clock; not stored. None: as soon as can be.
-  std::optional<vetchhinge::Time> owed_by{};
+  std::optional<vetchhinge::Time> due_by{};
 };
 
 class Owed;  // while it is read
@@ -73,25 +73,27 @@
 
   void accept(const StoredMessage& message);
   // An attempt that may run from now on. Attempts with lower numbers that were not recorded never ran.
-  void attempt(const std::string& id, std::uint32_t number, const StoredAttempt& attempt);
+  void record_attempt(const std::string& id, std::uint32_t number, const StoredAttempt& attempt);
   // The outcome of an attempt proves it. Nothing is written for one that was not recorded.
-  void never_ran(const std::string& id, std::uint32_t number);
-  void end(const std::string& id);  // nothing more is owed
-  void end(const std::string& id, const Ended& ended);
-  void end_owing(const Notice& notice, const std::optional<Ended>& ended = std::nullopt);
-  void notice_settled(const std::string& id);
+  void record_never_ran(const std::string& id, std::uint32_t number);
+  void complete(const std::string& id);  // nothing more is owed
+  void complete(const std::string& id, const Ended& ended);
+  void complete_with_notice(const Notice& notice, const std::optional<Ended>& ended = std::nullopt);
+  void settle_notice(const std::string& id);
 
   // What is remembered of one that has ended; null: nothing.
-  const Ended* ended(const std::string& id) const { return ended_.find(fingerprint(id), read_clocks()); }
+  const Ended* find_completed(const std::string& id) const {
+    return ended_.find(fingerprint(id), read_clocks());
+  }
   // It is told otherwise than was written down, which only a restart goes by.
-  void remember(const std::string& id, const Ended& ended);
+  void remember_completed(const std::string& id, const Ended& ended);
   // Owed, or its notice is not settled.
-  bool holds(const std::string& id) const { return index_.contains(id); }
+  bool contains(const std::string& id) const { return index_.contains(id); }
 
   // Hosts that are taken out by hand, until they are put back.
-  void ban(const std::string& host);
-  void lift(const std::string& host);
-  const std::set<std::string>& banned() const { return banned_; }
+  void disable_host(const std::string& host);
+  void enable_host(const std::string& host);
+  const std::set<std::string>& disabled_hosts() const { return disabled_hosts_; }
 
   // Another process writes from now on.
   void retire();
@@ -103,12 +105,12 @@
   // succeeds.
   bool failing() const { return failing_ || must_rewrite_; }
   // A restart may find this message, though it is ended now, until a flush succeeds.
-  bool may_be_found(const std::string& id) const;
+  bool may_survive_restart(const std::string& id) const;
   // Syncs what has been flushed by now; another thread may do it. False: what it covered may be lost,
-  // whatever a later one says, and sync_failed() has to be called.
+  // whatever a later one says, and mark_sync_failed() has to be called.
   std::function<bool()> sync_later() { return disk_->sync_later(kName); }
   // All that matters has to be written and synced once more, to a new file; nothing is taken before that.
-  void sync_failed() { must_rewrite_ = true; }
+  void mark_sync_failed() { must_rewrite_ = true; }
 
  private:
   Journal(std::unique_ptr<valedrum::recovery::Disk> own, std::uint64_t most_bytes,
@@ -136,7 +138,7 @@
   std::string ended_records() const;
   std::uint64_t most_ended() const;
   std::uint64_t kept_bytes() const;
-  void end(const std::string& id, std::string record);
+  void complete(const std::string& id, std::string record);
   void forget(const std::string& id);
   void compact();
   static constexpr const char* kName = "journal";
@@ -160,7 +162,7 @@
   std::unordered_map<std::string, std::uint64_t> index_;
   std::vector<StoredMessage> messages_;
   std::vector<Notice> notices_;
-  std::set<std::string> banned_;
+  std::set<std::string> disabled_hosts_;
   EndedMessages ended_;
 };
 
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -20,7 +20,8 @@
             myrtlegrade::Succession& succession) {
   boost::asio::post(reading, [&context, &succession] {
     try {
-      const myrtlegrade::Config config = myrtlegrade::load_config(myrtlegrade::ConfigText::Known::pass_over);
+      const myrtlegrade::Config config =
+          myrtlegrade::load_config(myrtlegrade::ConfigReader::KnownHosts::skip);
       boost::asio::post(context, [&succession, config] {
         succession.reload(config);
         std::cerr << "myrtlegrade: configuration read again, discovery at " << config.discovery << std::endl;
--- a/relay/notice_sender.cpp
+++ b/relay/notice_sender.cpp
@@ -51,7 +51,7 @@
 void NoticeSender::send(Notice notice) {
   const Clock::time_point paced = Clock::now() + budgets::kNoticePaced + budgets::kNoticeWay;
   const Clock::time_point owed =
-      notice.owed_by ? Clock::time_point(notice.owed_by->time_since_epoch()) : Clock::time_point::max();
+      notice.due_by ? Clock::time_point(notice.due_by->time_since_epoch()) : Clock::time_point::max();
   notices_.push_back({std::move(notice), std::min(paced, owed)});
   if (std::exchange(running_, true)) {
     retry_.cancel();  // a pause that is long, for what is late already
@@ -85,7 +85,7 @@
 void NoticeSender::drop_connection() {
   if (const Stream old = std::exchange(stream_, nullptr)) old->close();
   connected_ = false;
-  spare_.keep();
+  spare_.reserve();
 }
 
 // Of the next notice that is still in time. One that is late is told with it, and takes no time from it.
@@ -205,7 +205,7 @@
 asio::awaitable<boost::system::error_code> NoticeSender::connect(beast::tcp_stream& stream) {
   boost::system::error_code error;
   stream.socket().open(address_.protocol(), error);
-  if (lacks_resources(error)) {
+  if (is_temporary_error(error)) {
     spare_.release();
     stream.socket().open(address_.protocol(), error);
   }
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -30,7 +30,7 @@
 constexpr double kClientShare = 0.54;
 constexpr double kHostShare = 0.43;
 constexpr double kIdleHostShare = 0.27;
-constexpr std::size_t kSetAside = 20 + AdminServer::kMostCallers;
+constexpr std::size_t kSetAside = 20 + AdminServer::kMaxConnections;
 constexpr std::size_t kLeastShared = 64;  // whatever another process holds
 
 constexpr auto kLogEvery = 5s;  // one line at most
@@ -46,7 +46,7 @@
              std::optional<std::string> inherited)
     : executor_(executor),
       config_(std::move(config)),
-      journal_(config_.state_folder, config_.disk_bytes, config_.durability),
+      journal_(config_.state_folder, config_.journal_disk_bytes, config_.durability),
       sender_(config_.settings),
       owners_(executor, config_.state_folder,
               {.told =
@@ -64,8 +64,8 @@
           executor,
           {.connect_timeout = config_.connect_timeout,
            .idle = config_.settings.connection_idle,
-           .most_idle = part_of(config_.sockets, kIdleHostShare),
-           .most = part_of(config_.sockets, kHostShare),
+           .most_idle = part_of(config_.descriptor_limit, kIdleHostShare),
+           .most = part_of(config_.descriptor_limit, kHostShare),
            .reports = config_.dialect.share_left && config_.dialect.calls_per_second,
            .before_last_byte =
                [this](const std::vector<CallItem>& items) { return record_before_last_byte(items); },
@@ -84,7 +84,8 @@
           },
           [this](const std::string& message) { notice_settled(message); }),
       server_(
-          executor, std::move(listening), part_of(config_.sockets, kClientShare), [this] { return ready(); },
+          executor, std::move(listening), part_of(config_.descriptor_limit, kClientShare),
+          [this] { return ready(); },
           [this](HandIn message, Server::Respond respond) {
             hand_in(std::move(message), std::move(respond));
           },
@@ -105,7 +106,7 @@
 }
 
 void Relay::leave_descriptors(std::size_t count) {
-  const std::size_t left = config_.sockets - std::min(count, config_.sockets);
+  const std::size_t left = config_.descriptor_limit - std::min(count, config_.descriptor_limit);
   server_.limit(part_of(left, kClientShare));
   host_client_.limit(part_of(left, kIdleHostShare), part_of(left, kHostShare));
 }
@@ -133,7 +134,7 @@
   if (keyed && message.key.empty()) return respond({Answer::Kind::key_missing});
   if (known_already(message, respond)) return;
   if (copied_elsewhere(message, respond)) return;
-  if (journal_.holds(message.id)) return respond({Answer::Kind::failed});  // its notice is not taken yet
+  if (journal_.contains(message.id)) return respond({Answer::Kind::failed});  // its notice is not taken yet
   if (!endpoints_.is_destination(message.destination)) {
     return respond({Answer::Kind::unknown_destination, whole_ms(config_.settings.max_wait_hint)});
   }
@@ -141,7 +142,7 @@
   const bool full = held_ >= config_.settings.max_open ||
                     !journal_.has_room(message.body.size() + message.key.size() + message.id.size());
   if (full || closing_) {
-    ++counters_.turned_away;
+    ++counters_.rejected_without_room;
     return respond(
         {Answer::Kind::refused, std::chrono::milliseconds(whole_ms(config_.settings.max_wait_hint))});
   }
@@ -185,7 +186,7 @@
   Open& open = open_.at(item.message);
   Out* const out = find_out(open, item.attempt);
   if (out) out->reported = true;
-  counters_.outcome(result.result);
+  counters_.count_outcome(result.result);
   MessageTrace::event(open.payload->id, "outcome", "attempt", item.attempt, "result", name_of(result.result),
                       "over", result.over, "elapsed_ms", whole_ms(result.elapsed).count(), "wait_ms",
                       whole_ms(result.wait).count());
@@ -212,14 +213,14 @@
     if (!result.over) open.ended.push_back({item.attempt, endpoints_.name(host), name_of(result.result)});
     if (result.over) {
       const bool delivered = result.result == Result::delivered;
-      journal_.end(open.payload->id, ended(open, delivered ? Ended::Told::taken : Ended::Told::failed));
+      journal_.complete(open.payload->id, ended(open, delivered ? Ended::Told::taken : Ended::Told::failed));
       // Delivered before all have said that they hold it: there is nothing left to hold.
       if (open.respond) {
-        ++counters_.taken;
+        ++counters_.accepted;
         std::exchange(open.respond, nullptr)({Answer::Kind::taken});
       }
     } else if (never_ran(result.result)) {
-      journal_.never_ran(open.payload->id, item.attempt);
+      journal_.record_never_ran(open.payload->id, item.attempt);
     } else {
       open.may_have_run = true;
     }
@@ -254,7 +255,7 @@
 }
 
 bool Relay::listed(valedrum::catalog::ListReader& list, bool first) {
-  if (first) ++counters_.lists;
+  if (first) ++counters_.list_updates;
   bool more = false;
   if (list.full()) {
     endpoints_.take_whole(list.version(), list.take_entries(), vetchhinge::HostList::Kind::whole, events_);
@@ -273,7 +274,7 @@
 // Where the list comes on request, the module asks for it. Where it comes by itself the module never does:
 // on sockets too it comes through a watch, which is the relay's to keep open.
 void Relay::watch_lost(SteadyClock::duration silent, std::chrono::milliseconds again) {
-  ++counters_.lists_lost;
+  ++counters_.watch_failures;
   if (config_.settings.list_on_request) {
     happened(vetchhinge::HostList{
         vetchhinge::HostList::Kind::lost, {}, std::chrono::duration_cast<Duration>(silent)});
@@ -330,7 +331,7 @@
   std::vector<std::pair<MessageId, Answer>> answers;
   for (const auto& action : actions) {
     if (const auto* refuse = std::get_if<vetchhinge::Refuse>(&action)) {
-      ++counters_.refused;
+      ++counters_.rejected_by_policy;
       const auto found = open_.find(refuse->id);
       if (found != open_.end() && found->second.respond) {
         answers.emplace_back(refuse->id, Answer{Answer::Kind::refused, whole_ms(refuse->wait)});
@@ -358,7 +359,7 @@
                      open.deadline,
                      {}});
     if (copies_ && !copy(open)) {
-      journal_.end(open.payload->id);
+      journal_.complete(open.payload->id);
       not_held.push_back(id);
     } else {
       taken.push_back(id);
@@ -374,7 +375,7 @@
     Open& open = open_.at(id);
     MessageTrace::event(open.payload->id, "answered", "kind", name_of(answer.kind));
     if (copies_) {  // it may have been copied, and not been promised yet
-      journal_.end(open.payload->id);
+      journal_.complete(open.payload->id);
       copies_->copies().over(CopyNet::now(), open.payload->id);
     }
     std::exchange(open.respond, nullptr)(answer);
@@ -423,7 +424,7 @@
   const std::size_t most = config_.settings.kinds[host.kind].batch;
   const bool joins = last != calls.rend() && last->items.size() < most;
   DecidedCall& call = joins ? *last : calls.emplace_back(DecidedCall{++last_call_, send.host, {}});
-  if (open.attempts > 0) ++counters_.repeats;
+  if (open.attempts > 0) ++counters_.retries;
   MessageTrace::event(open.payload->id, "call", "attempt", open.attempts, "endpoint",
                       endpoints_.name(send.host), "timeout_ms", whole_ms(send.timeout).count());
   const vetchhinge::Time decided = steady_time(last_step_);
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -229,7 +229,7 @@
     std::optional<OutCall> out;
   };
   // Once all that the journal has by now outlasts what it has to outlast; false: that can't be known.
-  void when_durable(Syncer::Then then);
+  void when_durable(Syncer::Callback then);
   void make_copies();
   bool copied_elsewhere(const HandIn& message, const Server::Respond& respond) const;
   bool copy(const Open& open);
--- a/relay/relay_admin.cpp
+++ b/relay/relay_admin.cpp
@@ -27,11 +27,11 @@
 }
 
 std::string Relay::take_out(const std::string& host) {
-  if (journal_.banned().contains(host)) return "ACK";
+  if (journal_.disabled_hosts().contains(host)) return "ACK";
   if (!endpoints_.is_known(host)) return "NAK no such endpoint";
-  journal_.ban(host);
+  journal_.disable_host(host);
   if (!journal_.flush()) {  // what a restart would forget must not be promised
-    journal_.lift(host);
+    journal_.enable_host(host);
     return "NAK the disk is full";
   }
   endpoints_.withhold(endpoints_.number(host));
@@ -40,12 +40,12 @@
 }
 
 std::string Relay::put_back(const std::string& host) {
-  if (!journal_.banned().contains(host)) {
+  if (!journal_.disabled_hosts().contains(host)) {
     return endpoints_.is_known(host) ? "ACK" : "NAK no such endpoint";
   }
-  journal_.lift(host);
+  journal_.enable_host(host);
   if (!journal_.flush()) {
-    journal_.ban(host);
+    journal_.disable_host(host);
     return "NAK the disk is full";
   }
   tell_by_hand(host, false);
--- a/relay/relay_calls.cpp
+++ b/relay/relay_calls.cpp
@@ -54,7 +54,7 @@
             << " messages_out=" << calls.size() << " earlier_calls_open=" << earlier_calls_open_
             << " owner=" << owners_.name() << std::endl;
   for (const auto& [number, call] : calls_) {
-    if (!events_log_.admits()) continue;
+    if (!events_log_.allow_line()) continue;
     std::ostringstream text;
     text << "number=" << number << " endpoint=" << endpoints_.name(call.host)
          << " age_ms=" << age_ms(call.begun) << (call.elsewhere ? " owner=" + call.owner : "")
@@ -71,7 +71,7 @@
 void Relay::log_inherited(const std::vector<OutCall>& calls) {
   std::cerr << "myrtlegrade: inherits messages_out=" << calls.size() << std::endl;
   for (const OutCall& call : calls) {
-    if (!events_log_.admits()) continue;
+    if (!events_log_.allow_line()) continue;
     std::ostringstream text;
     text << "number=" << call.call << " endpoint=" << call.host << " owner=" << call.owner
          << " message=" << call.message << " attempt=" << call.attempt << " over=" << call.over;
@@ -81,7 +81,7 @@
 
 // With what is known of all earlier attempts: why this one is allowed.
 void Relay::log_repeat(const Open& open, const Out& out) {
-  if (!events_log_.admits()) return;
+  if (!events_log_.allow_line()) return;
   std::ostringstream text;
   text << "message=" << open.payload->id << " attempt=" << out.attempt
        << " endpoint=" << endpoints_.name(out.host) << " number=" << out.call << " class=" << open.cls
@@ -93,7 +93,7 @@
 }
 
 void Relay::log_read_end(const std::string& owner, const CallRecord& record) {
-  if (!events_log_.admits()) return;
+  if (!events_log_.allow_line()) return;
   std::ostringstream text;
   text << "number=" << record.call << " owner=" << owner << " end=" << name_of(record.end);
   events_log_.write("end_read", text.str());
@@ -102,7 +102,7 @@
 // Answered ones are the rule, and say nothing.
 void Relay::log_call_over(std::uint64_t number, const CallOut& call, CallEnd end) {
   if (end == CallEnd::answered && !call.elsewhere) return;
-  if (!events_log_.admits()) return;
+  if (!events_log_.allow_line()) return;
   std::ostringstream text;
   text << "number=" << number << " endpoint=" << endpoints_.name(call.host) << " end=" << name_of(end)
        << " age_ms=" << age_ms(call.begun) << (call.elsewhere ? " inherited_from=" + call.owner : "")
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -26,9 +26,10 @@
 
 void Relay::make_copies() {
   if (!config_.copies) return;
-  copies_ = std::make_shared<CopyNet>(
-      executor_, *config_.copies, *config_.fleet, config_.name, config_.state_folder, config_.copies_disk,
-      config_.durability, config_.seed, [this](const copies::CopyEvent& event) { on_copies(event); });
+  copies_ =
+      std::make_shared<CopyNet>(executor_, *config_.copies, *config_.fleet, config_.name,
+                                config_.state_folder, config_.copies_disk_bytes, config_.durability,
+                                config_.seed, [this](const copies::CopyEvent& event) { on_copies(event); });
 }
 
 // One that is held here for another relay, or that this one has found and may not act on yet: its promise
@@ -59,13 +60,13 @@
   if (copies_) copies_->stop();
 }
 
-void Relay::when_durable(Syncer::Then then) {
+void Relay::when_durable(Syncer::Callback then) {
   if (!syncer_) return then(true);
-  syncer_->after([this, then = std::move(then)](bool synced) {
+  syncer_->run_after_sync([this, then = std::move(then)](bool synced) {
     if (!synced) {
       std::cerr << "myrtlegrade: a sync of the journal has failed: it is written anew before more is taken on"
                 << std::endl;
-      journal_.sync_failed();
+      journal_.mark_sync_failed();
       retry_journal();
     }
     then(synced);
@@ -88,15 +89,15 @@
   const auto found = open_.find(id);
   if (found == open_.end() || found->second.over || !found->second.respond) return;
   if (!good) return take_back(id);
-  ++counters_.taken;
+  ++counters_.accepted;
   std::exchange(found->second.respond, nullptr)({Answer::Kind::taken});
 }
 
 // Its client is told to come again: it was not promised anything yet.
 void Relay::take_back(MessageId id) {
   Open& open = open_.at(id);
-  const bool may_be_found = journal_.may_be_found(open.payload->id);
-  journal_.end(open.payload->id);
+  const bool may_be_found = journal_.may_survive_restart(open.payload->id);
+  journal_.complete(open.payload->id);
   if (copies_) copies_->copies().over(CopyNet::now(), open.payload->id);
   // Refused, its client hands it in again: then a restart must not find it here.
   const bool forgotten = flush_journal() || !may_be_found;
@@ -175,7 +176,7 @@
 }
 
 void Relay::notice_settled(const std::string& message) {
-  journal_.notice_settled(message);
+  journal_.settle_notice(message);
   if (!copies_) return;
   copies_->copies().over(CopyNet::now(), message);
   copies_->turn();
@@ -190,7 +191,7 @@
   if (const auto* over = std::get_if<copies::Expired>(&event)) return expired(*over);
   if (const auto* ended = std::get_if<copies::Ended>(&event)) {
     if (waiting_.contains(ended->id)) {
-      journal_.end(ended->id);
+      journal_.complete(ended->id);
       end_waiting(ended->id);
     }
   }
@@ -204,7 +205,7 @@
   } else if (const auto untold = untold_.extract(done.ticket)) {
     Notice& notice = untold.mapped();
     if (!done.good && !copies_->copies().is_own(notice.message)) {  // another ends it
-      journal_.notice_settled(notice.message);
+      journal_.settle_notice(notice.message);
       return;
     }
     // Nobody could be told: one that may send it still must find it failed, not back with its client.
@@ -226,12 +227,12 @@
   if (ends_delivered(id)) return;
   // It was given up here without the others' leave. What is remembered as taken or as handed back may have
   // been theirs to end.
-  if (const Ended* const end = journal_.ended(id); end && end->told == Ended::Told::failed)
+  if (const Ended* const end = journal_.find_completed(id); end && end->told == Ended::Told::failed)
     return copies_->copies().over(CopyNet::now(), id);
   auto found = waiting_.extract(id);
   if (!item.payload || !config_.dialect.classes.find(item.payload->cls)) {
     const Notice notice{id, false, {}};
-    journal_.end_owing(notice);
+    journal_.complete_with_notice(notice);
     return tell(notice);
   }
   StoredMessage stored{id,
@@ -250,8 +251,8 @@
   } else {
     journal_.accept(stored);
     for (std::uint32_t n = 0; n < stored.attempts.size(); ++n) {
-      journal_.attempt(id, n, stored.attempts[n]);
-      if (!stored.attempts[n].may_have_run) journal_.never_ran(id, n);
+      journal_.record_attempt(id, n, stored.attempts[n]);
+      if (!stored.attempts[n].may_have_run) journal_.record_never_ran(id, n);
     }
     journal_.flush();
   }
@@ -270,10 +271,10 @@
   const MessageId message = found->second;
   std::erase_if(untold_ends_, [message](const UntoldEnd& end) { return end.message == message; });
   if (open.respond) {  // not promised to its client yet: it may come again
-    journal_.end(id);
+    journal_.complete(id);
     std::exchange(open.respond, nullptr)({Answer::Kind::refused, whole_ms(config_.settings.max_wait_hint)});
   } else {
-    journal_.end(id, ended(open, Ended::Told::taken));
+    journal_.complete(id, ended(open, Ended::Told::taken));
   }
   happened(vetchhinge::Withdrawn{message});
   close_message(message);
@@ -287,8 +288,8 @@
   end_waiting(over.id);
   Notice notice{over.id, over.notice.handed_back, whole_ms(over.notice.retry_in)};
   if (const copies::Item* item = copies_->copies().look(over.id))
-    notice.owed_by = from_copies(item->until).steady + budgets::kNoticeOwed;
-  journal_.end_owing(notice);
+    notice.due_by = from_copies(item->until).steady + budgets::kNoticeOwed;
+  journal_.complete_with_notice(notice);
   journal_.flush();
   discovery_.send(std::move(notice));
 }
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -40,7 +40,7 @@
   journal_.retire();
   discovery_.stop();
   host_client_.close_all_idle();
-  host_client_.limit(0, config_.sockets);
+  host_client_.limit(0, config_.descriptor_limit);
   Inheritance all;
   all.list.version = endpoints_.version();
   all.learned = sender_.learned(now());
--- a/relay/relay_journal.cpp
+++ b/relay/relay_journal.cpp
@@ -14,8 +14,8 @@
 using SteadyClock = std::chrono::steady_clock;
 
 void Relay::record_attempt(const Open& open, Out& out) {
-  journal_.attempt(open.payload->id, out.attempt,
-                   {endpoints_.name(out.host), endpoints_.at(out.host).zone, out.sent});
+  journal_.record_attempt(open.payload->id, out.attempt,
+                          {endpoints_.name(out.host), endpoints_.at(out.host).zone, out.sent});
   out.recorded = true;
   MessageTrace::event(open.payload->id, "recorded", "attempt", out.attempt);
 }
@@ -57,13 +57,13 @@
   notice.message = found->second.payload->id;
   MessageTrace::event(notice.message, notice.handed_back ? "handed_back" : "given_up");
   const Ended::Told told = notice.handed_back ? Ended::Told::refused : Ended::Told::failed;
-  journal_.end_owing(notice, ended(found->second, told, notice.retry_in));
+  journal_.complete_with_notice(notice, ended(found->second, told, notice.retry_in));
   found->second.ending = true;
   // By the step's clock and the message's, however late this is reached.
   const vetchhinge::Time over = due_at(found->second.deadline, read_clocks());
-  notice.owed_by = over + budgets::kNoticeOwed;
+  notice.due_by = over + budgets::kNoticeOwed;
   const auto due = std::min<vetchhinge::Time>(steady_time(last_step_) + budgets::kHandedBackWithin,
-                                              *notice.owed_by - budgets::kKeptForNotice);
+                                              *notice.due_by - budgets::kKeptForNotice);
   untold_ends_.push_back({id, std::move(notice), due});
 }
 
@@ -83,7 +83,7 @@
       end.notice.handed_back = false;
       const auto open = open_.find(end.message);
       if (open != open_.end())
-        journal_.remember(end.notice.message, ended(open->second, Ended::Told::failed));
+        journal_.remember_completed(end.notice.message, ended(open->second, Ended::Told::failed));
     }
     tell(std::move(end.notice));
     close_message(end.message);
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -19,10 +19,10 @@
 
 void Relay::start() {
   auto inherited = std::exchange(inherited_, std::nullopt);
-  WholeList& list = inherited ? inherited->list : *config_.known;
+  WholeList& list = inherited ? inherited->list : *config_.known_hosts;
   endpoints_.take_whole(list.version, std::move(list.entries), vetchhinge::HostList::Kind::cached, events_);
-  if (inherited) give_back(executor_, std::move(config_.known->entries));
-  config_.known.reset();
+  if (inherited) release_in_slices(executor_, std::move(config_.known_hosts->entries));
+  config_.known_hosts.reset();
   if (inherited) {
     for (const vetchhinge::LaneLearned& lane : inherited->learned.lanes) endpoints_.wake(lane.host, events_);
     for (const vetchhinge::HostLearned& host : inherited->learned.hosts) endpoints_.wake(host.host, events_);
@@ -35,7 +35,7 @@
     }
     events_.emplace_back(inherited->learned);
   }
-  for (const std::string& host : journal_.banned()) tell_by_hand(host, true);
+  for (const std::string& host : journal_.disabled_hosts()) tell_by_hand(host, true);
   for (Notice& notice : journal_.take_notices()) {
     // Whether others know that it goes back to its client is not known: its failure does no harm to what they
     // do.
@@ -80,7 +80,7 @@
   const auto cls = config_.dialect.classes.find(stored.cls);
   if (!cls) {  // the class is gone from the settings: nobody can say what a repeat would do
     const Notice notice{stored.id, false, {}};
-    journal_.end_owing(notice);
+    journal_.complete_with_notice(notice);
     discovery_.send(notice);
     return;
   }
--- a/relay/relay_same_request.cpp
+++ b/relay/relay_same_request.cpp
@@ -38,7 +38,7 @@
     }
     return true;
   }
-  if (const Ended* const ended = journal_.ended(message.id)) {
+  if (const Ended* const ended = journal_.find_completed(message.id)) {
     respond(answer_of(*ended, message));
   } else if (open) {
     respond(answer_of(*open, message));
@@ -76,11 +76,11 @@
 // After its end: what is remembered of that is more than what is known of a call of an earlier process.
 void Relay::remember_delivered(const Open& over) {
   const std::string& id = over.payload->id;
-  const Ended* const before = journal_.ended(id);
+  const Ended* const before = journal_.find_completed(id);
   if (!before && !over.content_known) return;
   Ended known = before ? *before : ended(over, Ended::Told::taken);
   known.told = Ended::Told::taken;
-  journal_.remember(id, known);
+  journal_.remember_completed(id, known);
   // Another gave it back to this relay meanwhile: there is nothing left to do.
   if (copies_ && inherited_later_.erase(id) > 0) copies_->copies().over(CopyNet::now(), id);
 }
@@ -93,9 +93,9 @@
       open.may_have_run || open.earlier_call_open ||
       std::ranges::any_of(open.out, [](const Out& out) { return out.recorded && !out.reported; });
   if (may_have_run && !repeatable) {
-    journal_.end(open.payload->id, ended(open, Ended::Told::failed));
+    journal_.complete(open.payload->id, ended(open, Ended::Told::failed));
   } else {
-    journal_.end(open.payload->id);
+    journal_.complete(open.payload->id);
   }
   withdrawn_.remember(open.payload->id, open.content(), open.deadline);
 }
--- a/relay/relay_waiting.cpp
+++ b/relay/relay_waiting.cpp
@@ -90,7 +90,7 @@
   open.cls = stored.cls;
   open.destination = stored.destination;
   open.deadline = stored.deadline;
-  journal_.end(id, ended(open, Ended::Told::taken));
+  journal_.complete(id, ended(open, Ended::Told::taken));
   if (copies_) copies_->copies().over(CopyNet::now(), id);
   journal_.flush();
   end_waiting(id);
--- a/relay/server.cpp
+++ b/relay/server.cpp
@@ -297,7 +297,7 @@
     if (error && !acceptor_.is_open()) co_return;
     if (error) {
       // The system may have none left although this relay has not used all of its own.
-      if (lacks_resources(error)) shed();
+      if (is_temporary_error(error)) shed();
       room_.expires_after(kFullPause);
       co_await room_.async_wait(kAwait);
       continue;
@@ -367,7 +367,7 @@
 // Whether a wait ahead of the accept made it late, or one behind it.
 void Server::log_late_close(const Session& session) {
   const auto age = Session::Clock::now() - session.accepted + session.unaccepted;
-  if (session.has_asked || age <= kOwedWithin || !events_log_.admits()) return;
+  if (session.has_asked || age <= kOwedWithin || !events_log_.allow_line()) return;
   const auto ms = [](Session::Clock::duration span) { return std::to_string(span / 1ms); };
   events_log_.write("closed_late", "age_ms=" + ms(age) + " unaccepted_ms=" + ms(session.unaccepted));
 }
--- a/relay/slices.h
+++ b/relay/slices.h
@@ -18,11 +18,12 @@
   });
 }
 
-constexpr std::size_t kGivenBack = 2 << 20;  // bytes of a table in one slice: under a millisecond (ours)
+constexpr std::size_t kReleaseBytesPerSlice =
+    2 << 20;  // bytes of a table in one slice: under a millisecond (ours)
 
-inline void give_back(const boost::asio::any_io_executor& executor, valedrum::catalog::Table table) {
+inline void release_in_slices(const boost::asio::any_io_executor& executor, valedrum::catalog::Table table) {
   run_in_slices(executor, [held = std::make_shared<valedrum::catalog::Table>(std::move(table))] {
-    return !held->release(kGivenBack);
+    return !held->release(kReleaseBytesPerSlice);
   });
 }
 
--- a/relay/spare_descriptor.h
+++ b/relay/spare_descriptor.h
@@ -10,13 +10,13 @@
 
 class SpareDescriptor {
  public:
-  SpareDescriptor() { keep(); }
+  SpareDescriptor() { reserve(); }
   ~SpareDescriptor() { release(); }
   SpareDescriptor(const SpareDescriptor&) = delete;
   SpareDescriptor& operator=(const SpareDescriptor&) = delete;
 
   // Where there is none to keep now, a later call may find one.
-  void keep() {
+  void reserve() {
     if (file_ < 0) file_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
   }
   // Whoever opens something next gets it.
--- a/relay/state_lock.cpp
+++ b/relay/state_lock.cpp
@@ -17,7 +17,7 @@
 
 StateLock::~StateLock() { ::close(file_); }
 
-bool StateLock::try_take() { return ::flock(file_, LOCK_EX | LOCK_NB) == 0; }
+bool StateLock::try_acquire() { return ::flock(file_, LOCK_EX | LOCK_NB) == 0; }
 
 void StateLock::release() { ::flock(file_, LOCK_UN); }
 
--- a/relay/state_lock.h
+++ b/relay/state_lock.h
@@ -14,7 +14,7 @@
   StateLock(const StateLock&) = delete;
   StateLock& operator=(const StateLock&) = delete;
 
-  bool try_take();
+  bool try_acquire();
   void release();
 
  private:
--- a/relay/stream_io.cpp
+++ b/relay/stream_io.cpp
@@ -48,7 +48,7 @@
 
 void log_slow_write(StreamUse use, std::chrono::steady_clock::duration took) {
   static EventLog log("stream");
-  if (!log.admits()) return;
+  if (!log.allow_line()) return;
   std::ostringstream text;
   text << "use=" << kUseNames[static_cast<std::size_t>(use)]
        << " took_ms=" << std::chrono::duration_cast<std::chrono::milliseconds>(took).count();
--- a/relay/stream_io.h
+++ b/relay/stream_io.h
@@ -112,7 +112,7 @@
     const auto [error, count] =
         co_await stream.async_write_some(boost::asio::buffer(bytes.data(), bytes.size()), detail::kAwait);
     bytes.remove_prefix(count);
-    if (bytes.empty() || (error && !lacks_resources(error))) {
+    if (bytes.empty() || (error && !is_temporary_error(error))) {
       if (disturbed && Clock::now() - *disturbed > detail::kSlowWrite)
         log_slow_write(use, Clock::now() - *disturbed);
       co_return error;
@@ -150,7 +150,7 @@
     boost::system::error_code ignored;
     acceptor.set_option(boost::asio::socket_base::enable_connection_aborted(true), ignored);
     auto [error, socket] = co_await acceptor.async_accept(stream_io_detail::kAwait);
-    if (!of_one_connection(error)) co_return std::tuple(error, std::move(socket));
+    if (!is_single_connection_error(error)) co_return std::tuple(error, std::move(socket));
     ++absorbed_failures().of(use).aborted_accepts;
   }
 }
--- a/relay/succession.cpp
+++ b/relay/succession.cpp
@@ -63,7 +63,7 @@
           executor_, *config_.admin,
           [this](const std::string& line, const AdminServer::Reply& reply) { called(line, reply); });
     } catch (const boost::system::system_error& e) {
-      if (!lacks_resources(e.code()) || SteadyClock::now() - started_ > kAddressWithin) throw;
+      if (!is_temporary_error(e.code()) || SteadyClock::now() - started_ > kAddressWithin) throw;
       std::this_thread::sleep_for(kLook);
     }
   }
@@ -157,12 +157,12 @@
 
 // False while another process is the relay, or the address is not free yet.
 bool Succession::take_office() {
-  if (!lock_.try_take()) return false;
+  if (!lock_.try_acquire()) return false;
   if (!listening_) {
     try {
       listening_.emplace(executor_, config_.listen);
     } catch (const boost::system::system_error& e) {
-      const bool passes = e.code() == asio::error::address_in_use || lacks_resources(e.code());
+      const bool passes = e.code() == asio::error::address_in_use || is_temporary_error(e.code());
       if (!passes || SteadyClock::now() - started_ > kAddressWithin) throw;
       lock_.release();
       return false;
@@ -306,7 +306,7 @@
 
 asio::awaitable<void> Succession::take_over(std::string inherited) {
   // The other process has let go of it; a third one that looks in passing lets go at once.
-  while (!lock_.try_take()) {
+  while (!lock_.try_acquire()) {
     pause_.expires_after(1ms);
     co_await pause_.async_wait(kAwait);
   }
--- a/relay/succession_heir.cpp
+++ b/relay/succession_heir.cpp
@@ -30,7 +30,7 @@
 }
 
 bool Succession::no_relay_serves() {
-  const bool is_free = lock_.try_take();
+  const bool is_free = lock_.try_acquire();
   if (is_free) lock_.release();
   return is_free;
 }
--- a/relay/syncer.h
+++ b/relay/syncer.h
@@ -15,13 +15,13 @@
 
 class Syncer : public std::enable_shared_from_this<Syncer> {
  public:
-  using Then = std::function<void(bool synced)>;
+  using Callback = std::function<void(bool synced)>;
   // `job` gives the work of one sync, as Disk::sync_later() does.
   Syncer(boost::asio::any_io_executor executor, std::function<std::function<bool()>()> job)
       : executor_(std::move(executor)), job_(std::move(job)) {}
 
   // Once all that was written before this call is on disk, or can't be known to be.
-  void after(Then then) {
+  void run_after_sync(Callback then) {
     waiting_.push_back(std::move(then));
     if (!running_) begin();
   }
@@ -43,17 +43,17 @@
                             [self, synced, batch = std::move(batch)] { self->ended(synced, batch); });
         });
   }
-  void ended(bool synced, const std::vector<Then>& batch) {
+  void ended(bool synced, const std::vector<Callback>& batch) {
     running_ = false;
     if (!stopped_ && !waiting_.empty()) begin();
-    for (const Then& then : batch) {
+    for (const Callback& then : batch) {
       if (!stopped_) then(synced);
     }
   }
 
   boost::asio::any_io_executor executor_;
   std::function<std::function<bool()>()> job_;
-  std::vector<Then> waiting_;
+  std::vector<Callback> waiting_;
   bool running_ = false, stopped_ = false;
   std::uint64_t syncs_ = 0;
   boost::asio::thread_pool thread_{1};
--- a/relay/system_errors.h
+++ b/relay/system_errors.h
@@ -8,7 +8,7 @@
 
 // The process or the system has no descriptor, buffer or memory left for the moment, or a signal came
 // between.
-inline bool lacks_resources(const boost::system::error_code& error) {
+inline bool is_temporary_error(const boost::system::error_code& error) {
   namespace errc = boost::system::errc;
   return error == errc::too_many_files_open || error == errc::too_many_files_open_in_system ||
          error == errc::no_buffer_space || error == errc::not_enough_memory || error == errc::interrupted;
@@ -16,7 +16,7 @@
 
 // Of an accept: the connection that was next is gone, or the network has told of its end already. accept(2)
 // asks for the next one then.
-inline bool of_one_connection(const boost::system::error_code& error) {
+inline bool is_single_connection_error(const boost::system::error_code& error) {
   namespace errc = boost::system::errc;
   return error == errc::connection_aborted || error == errc::protocol_error || error == errc::interrupted ||
          error == errc::operation_not_permitted || error == errc::network_down ||
--- a/tests/fleet_config_test.cpp
+++ b/tests/fleet_config_test.cpp
@@ -64,7 +64,7 @@
     return FleetIdentity(folder, fleet, name).incarnation();
   };
   EXPECT_EQ(of("f", "a"), 0U);
-  EXPECT_TRUE(FleetIdentity(folder, "f", "a").keep(7));
+  EXPECT_TRUE(FleetIdentity(folder, "f", "a").save(7));
   EXPECT_EQ(of("f", "a"), 7U);
   EXPECT_EQ(of("g", "a"), 0U);
   EXPECT_EQ(of("f", "b"), 0U);
@@ -83,7 +83,7 @@
   write(Writer(2).text("f").text("a").number(7).record());
   EXPECT_THROW(of("f", "a"), std::runtime_error);
   FleetIdentity nowhere(folder + "/missing", "f", "a");
-  EXPECT_FALSE(nowhere.keep(1));
+  EXPECT_FALSE(nowhere.save(1));
   fs::remove_all(folder);
 }
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -239,7 +239,7 @@
   std::this_thread::sleep_for(kTakesOverAfter);
   EXPECT_FALSE(watched_.read([&] { return closed.has_value(); }));
   StateLock lock(folder_ / "state");
-  while (!lock.try_take()) std::this_thread::sleep_for(1ms);
+  while (!lock.try_acquire()) std::this_thread::sleep_for(1ms);
   const auto taken_over = SteadyClock::now();
   ASSERT_TRUE(watched_.wait([&] { return closed.has_value(); }));
   EXPECT_LT(watched_.read([&] { return *closed; }) - taken_over, kToldWithin);
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -43,11 +43,11 @@
   {
     Journal journal(folder_, 3'000'000);
     for (const char* id : {"b", "a", "c"}) journal.accept(message(id));
-    journal.attempt("a", 0, {"h1", "z", {WallTime(1s)}});
-    journal.attempt("a", 1, {"h2", "z", {WallTime(2s)}});
-    journal.never_ran("a", 0);
-    journal.end("c");
-    journal.end_owing({"b", true, 250ms});
+    journal.record_attempt("a", 0, {"h1", "z", {WallTime(1s)}});
+    journal.record_attempt("a", 1, {"h2", "z", {WallTime(2s)}});
+    journal.record_never_ran("a", 0);
+    journal.complete("c");
+    journal.complete_with_notice({"b", true, 250ms});
     ASSERT_TRUE(journal.flush());
   }
   Journal journal(folder_, 3'000'000);
@@ -75,7 +75,7 @@
   {
     Journal journal(folder_, 3'000'000);
     journal.accept({"a", "receipt", 7, "k", "b", at + 1s, {}});
-    journal.attempt("a", 0, {"h", "z", at});
+    journal.record_attempt("a", 0, {"h", "z", at});
     ASSERT_TRUE(journal.flush());
   }
   std::ofstream(file(), std::ios::app)
@@ -101,8 +101,8 @@
   {
     Journal journal(folder_, 3'000'000);
     journal.accept(message("a"));
-    journal.never_ran("a", 0);
-    journal.attempt("a", 2, {"h", "z", {WallTime(1s)}});
+    journal.record_never_ran("a", 0);
+    journal.record_attempt("a", 2, {"h", "z", {WallTime(1s)}});
     ASSERT_TRUE(journal.flush());
   }
   const auto messages = Journal(folder_, 3'000'000).take_messages();
@@ -131,9 +131,9 @@
     Journal journal(folder_, 1'000'000);
     journal.accept(message("a"));
     ASSERT_TRUE(journal.flush());
-    journal.end_owing({"a", true, {}});
-    EXPECT_TRUE(journal.may_be_found("a"));
-    journal.end("a");
+    journal.complete_with_notice({"a", true, {}});
+    EXPECT_TRUE(journal.may_survive_restart("a"));
+    journal.complete("a");
     ASSERT_TRUE(journal.flush());
   }
   EXPECT_TRUE(Journal(folder_, 1'000'000).take_messages().empty());
@@ -147,23 +147,23 @@
     Journal journal(folder_, 1'000'000);
     for (const char* id : {"taken", "given-up", "past"}) journal.accept(message(id));
     ASSERT_TRUE(journal.flush());
-    journal.end("taken", {Ended::Told::taken, {}, 1, until});
-    journal.end("past", {Ended::Told::taken, {}, 2, read_clocks()});
-    journal.end_owing({"given-up", false, {}}, Ended{Ended::Told::failed, {}, 3, until});
-    journal.end_owing({"back", true, 250ms}, Ended{Ended::Told::refused, 250ms, 4, until});
-    journal.notice_settled("back");
+    journal.complete("taken", {Ended::Told::taken, {}, 1, until});
+    journal.complete("past", {Ended::Told::taken, {}, 2, read_clocks()});
+    journal.complete_with_notice({"given-up", false, {}}, Ended{Ended::Told::failed, {}, 3, until});
+    journal.complete_with_notice({"back", true, 250ms}, Ended{Ended::Told::refused, 250ms, 4, until});
+    journal.settle_notice("back");
     ASSERT_TRUE(journal.flush());
     for (int i = 0; i < 20; ++i) {  // more than a file may hold that is not worth it
       journal.accept(message("m", 20'000));
       ASSERT_TRUE(journal.flush());
-      journal.end("m");
+      journal.complete("m");
     }
     ASSERT_TRUE(journal.flush());
   }
   EXPECT_FALSE(view_journal(folder_).records.contains("notice_settled")) << "it was not compacted";
   Journal journal(folder_, 1'000'000);
   const auto expect = [&](const char* id, Ended::Told told, std::uint64_t content) {
-    const Ended* const ended = journal.ended(id);
+    const Ended* const ended = journal.find_completed(id);
     ASSERT_TRUE(ended) << id;
     EXPECT_EQ(ended->told, told) << id;
     EXPECT_EQ(ended->content, content) << id;
@@ -171,9 +171,9 @@
   expect("taken", Ended::Told::taken, 1);
   expect("given-up", Ended::Told::failed, 3);
   expect("back", Ended::Told::refused, 4);
-  EXPECT_EQ(journal.ended("back")->retry_in, 250ms);
-  EXPECT_FALSE(journal.ended("past"));
-  EXPECT_FALSE(journal.ended("m"));
+  EXPECT_EQ(journal.find_completed("back")->retry_in, 250ms);
+  EXPECT_FALSE(journal.find_completed("past"));
+  EXPECT_FALSE(journal.find_completed("m"));
   EXPECT_TRUE(journal.take_messages().empty());
   EXPECT_EQ(journal.take_notices().size(), 1U);
 }
@@ -189,16 +189,17 @@
       ASSERT_TRUE(journal.has_room(100)) << i;
       journal.accept(message(id));
       ASSERT_TRUE(journal.flush()) << i;
-      journal.end(id, {Ended::Told::taken, {}, i, until});
+      journal.complete(id, {Ended::Told::taken, {}, i, until});
       ASSERT_LE(on_disk(), kMost);
     }
     ASSERT_TRUE(journal.flush());
-    EXPECT_TRUE(journal.ended(std::to_string(kEnds - EndedMessages::kMost)));
-    EXPECT_FALSE(journal.ended(std::to_string(kEnds - EndedMessages::kMost - 1)));
+    EXPECT_TRUE(journal.find_completed(std::to_string(kEnds - EndedMessages::kMost)));
+    EXPECT_FALSE(journal.find_completed(std::to_string(kEnds - EndedMessages::kMost - 1)));
   }
   const Journal journal(folder_, kMost);
   constexpr std::uint64_t kLeft = kMost / 32 / kEndRecord;
-  for (std::uint64_t i = kEnds - kLeft; i < kEnds; ++i) EXPECT_TRUE(journal.ended(std::to_string(i)));
+  for (std::uint64_t i = kEnds - kLeft; i < kEnds; ++i)
+    EXPECT_TRUE(journal.find_completed(std::to_string(i)));
 }
 
 TEST_F(JournalTest, ATornTailIsCutAtAnyByte) {
@@ -255,7 +256,7 @@
       ASSERT_TRUE(journal.has_room(1000));
       journal.accept(message(id, 1000));
       ASSERT_TRUE(journal.flush());
-      journal.end(id);
+      journal.complete(id);
       ASSERT_TRUE(journal.flush());
       most_seen = std::max(most_seen, on_disk());
     }
@@ -277,7 +278,7 @@
   }
   EXPECT_GT(taken, 3);
   EXPECT_LE(on_disk(), 100'000U);
-  for (int i = 0; i < taken; ++i) journal.end(std::to_string(i));
+  for (int i = 0; i < taken; ++i) journal.complete(std::to_string(i));
   ASSERT_TRUE(journal.flush());
   EXPECT_TRUE(journal.has_room(4000));
 }
@@ -286,18 +287,18 @@
   const std::set<std::string> left = {"s-2"};
   {
     Journal journal(folder_, 3'000'000);
-    journal.ban("s-1");
-    journal.ban("s-2");
-    journal.lift("s-1");
+    journal.disable_host("s-1");
+    journal.disable_host("s-2");
+    journal.enable_host("s-1");
     ASSERT_TRUE(journal.flush());
     for (int i = 0; i < 2000; ++i) {
       journal.accept(message(std::to_string(i), 200));
-      journal.end(std::to_string(i));
+      journal.complete(std::to_string(i));
       ASSERT_TRUE(journal.flush());
     }
     ASSERT_LT(on_disk(), 200'000U) << "it was compacted";
   }
-  EXPECT_EQ(Journal(folder_, 3'000'000).banned(), left);
+  EXPECT_EQ(Journal(folder_, 3'000'000).disabled_hosts(), left);
 }
 
 // What it costs to read one back, in seconds of the processor: so many messages owed, each tried, and as many
@@ -310,9 +311,9 @@
     for (std::size_t i = 0; i < messages; ++i) {
       for (const std::string& id : {"owed-" + std::to_string(i), "over-" + std::to_string(i)}) {
         journal.accept({id, "refund", 7, "", "hello", Moment{WallTime(5s), 0, {}}, {}});
-        journal.attempt(id, 0, {"h", "z", Moment{WallTime(1s), 0, {}}});
+        journal.record_attempt(id, 0, {"h", "z", Moment{WallTime(1s), 0, {}}});
       }
-      journal.end("over-" + std::to_string(i));
+      journal.complete("over-" + std::to_string(i));
     }
     EXPECT_TRUE(journal.flush());
   }
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -2,7 +2,7 @@
 #include <boost/asio/io_context.hpp>
 
 #include "catalog/list_reader.h"
-#include "config_text.h"
+#include "config_reader.h"
 #include "endpoints.h"
 #include "relay_fixture.h"
 
@@ -149,14 +149,14 @@
   take(many(100), true);
   EXPECT_TRUE(endpoints_.is_known("e8"));
   EXPECT_FALSE(endpoints_.is_known("e100"));
-  journal_.ban("e8");
+  journal_.disable_host("e8");
   const HostId out = endpoints_.number("e8");
   endpoints_.withhold(out);
   EXPECT_EQ(wake(8).entries.at(0).host, out);
   endpoints_.put_away(8);
   EXPECT_EQ(wake(8).entries.at(0).host, out);
   endpoints_.put_away(8);
-  journal_.lift("e8");
+  journal_.enable_host("e8");
   endpoints_.forget_name("e8");
   EXPECT_FALSE(dialect_.hosts.find("e8"));
 }
@@ -164,7 +164,7 @@
 TEST_F(EndpointsTest, AnIdThatMovesToAnotherDestinationIsAnotherHost) {
   const HostId first = take({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
   endpoints_.call_begins(first);
-  journal_.ban("a");
+  journal_.disable_host("a");
   const HostList moved = take({{"a", 2}}, false);
   ASSERT_EQ(moved.entries.size(), 2U);
   EXPECT_EQ(moved.entries[0].host, first);
@@ -269,18 +269,19 @@
   const std::string rest = R"({"name":"known","a":{"known":{"x":[1]}},"s":"\"}","known": null)"
                            R"(,"b":[{}],"known ":{},"last":1})";
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-    ConfigText read(ConfigText::Known::read), passed(ConfigText::Known::pass_over);
-    for (ConfigText* to : {&read, &passed}) {
+    ConfigReader read(ConfigReader::KnownHosts::read), passed(ConfigReader::KnownHosts::skip);
+    for (ConfigReader* to : {&read, &passed}) {
       to->feed(std::string_view(text).substr(0, cut));
       to->feed(std::string_view(text).substr(cut));
       EXPECT_EQ(to->rest(), rest);
     }
-    const WholeList list = read.take_known();
+    const WholeList list = read.take_known_hosts();
     EXPECT_EQ(list.version, 41);
     EXPECT_EQ(list.entries.size(), 3U);
-    EXPECT_EQ(passed.take_known().entries.size(), 0U);
+    EXPECT_EQ(passed.take_known_hosts().entries.size(), 0U);
   }
-  EXPECT_THROW(ConfigText(ConfigText::Known::read).feed(R"({"known":{"servers":1}})"), std::invalid_argument);
+  EXPECT_THROW(ConfigReader(ConfigReader::KnownHosts::read).feed(R"({"known":{"servers":1}})"),
+               std::invalid_argument);
 }
 
 // ------------------------------------------------------------------------------------- in a relay
--- a/tests/notice_sender_test.cpp
+++ b/tests/notice_sender_test.cpp
@@ -37,7 +37,7 @@
     NoticeSender sender(context.get_executor(), {boost::asio::ip::address_v4::loopback(), port},
                         [](const std::string&) {});
     Notice notice{"m", false, {}};
-    notice.owed_by = steady_time() + budgets::kNoticeWay + 10ms;
+    notice.due_by = steady_time() + budgets::kNoticeWay + 10ms;
     sender.send(notice);
     context.run_for(2s);
     ASSERT_FALSE(sender.pending());
--- a/tests/ready_test.cpp
+++ b/tests/ready_test.cpp
@@ -62,10 +62,10 @@
   for (std::size_t i = 0; size() < enough; ++i) {
     ended.push_back("ended-" + std::to_string(i));
     accept(ended.back(), i);
-    journal.attempt(ended.back(), 0, {"h", "a", now});
+    journal.record_attempt(ended.back(), 0, {"h", "a", now});
     if (ended.size() * body < most / 50) continue;
     EXPECT_TRUE(journal.flush());  // what is ended before it is written leaves no record
-    for (const std::string& id : std::exchange(ended, {})) journal.end(id);
+    for (const std::string& id : std::exchange(ended, {})) journal.complete(id);
     EXPECT_TRUE(journal.flush());
   }
   written.mb = size() / 1e6;
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -42,7 +42,7 @@
     if (!journal.flush()) return false;
     if (broken == Broken::sync_left_out) return true;
     const bool synced = journal.sync_later()();
-    if (!synced && broken != Broken::sync_error_ignored) journal.sync_failed();
+    if (!synced && broken != Broken::sync_error_ignored) journal.mark_sync_failed();
     return synced || broken == Broken::sync_error_ignored;
   };
   for (int n = 0; n < 120; ++n) {
@@ -53,18 +53,18 @@
     if (!durable()) break;
     told.taken.insert(id);
     if (n % 3 == 0) {
-      journal.attempt(id, 0, {"h", "z", {WallTime(1s)}});
+      journal.record_attempt(id, 0, {"h", "z", {WallTime(1s)}});
       if (!durable()) break;
       told.called.insert(id);
     }
     if (n >= 5 && n % 2 == 0) {
       const std::string over = number(n - 5);
       if (n % 4 == 0) {
-        journal.end(over);
+        journal.complete(over);
         told.ended.insert(over);
         journal.flush();
       } else {
-        journal.end_owing({over, true, 100ms});
+        journal.complete_with_notice({over, true, 100ms});
         if (!durable()) break;
         told.handed_back.insert(over);
       }
@@ -221,7 +221,7 @@
     disk.faults.fails = true;
     journal.accept(stored("refused"));
     EXPECT_FALSE(journal.flush());
-    journal.end("refused");
+    journal.complete("refused");
     disk.faults.fails = false;
     journal.accept(stored("next"));
     EXPECT_TRUE(flush_again(journal));
@@ -238,7 +238,7 @@
     for (int n = 0; n < 400; ++n) {  // until it is written anew
       journal.accept(stored(number(n)));
       if (!journal.flush()) break;
-      journal.end(number(n));
+      journal.complete(number(n));
     }
     ASSERT_TRUE(journal.failing()) << "no compaction came";
     disk.faults.sync_names_fails = false;
@@ -258,7 +258,7 @@
     ASSERT_TRUE(journal.flush());
     disk.faults.fails = true;
     EXPECT_FALSE(journal.sync_later()());
-    journal.sync_failed();
+    journal.mark_sync_failed();
     EXPECT_FALSE(journal.has_room(100));
     EXPECT_FALSE(journal.flush());
     disk.faults.fails = false;
--- a/tests/window_test.cpp
+++ b/tests/window_test.cpp
@@ -271,7 +271,7 @@
     const auto found = [&](const std::string& id, Moment sent, vetchhinge::Duration set) {
       sent.wall += set;
       journal.accept({id, "receipt", 2, "key-of-" + id, "hello", now + 20s, {}});
-      journal.attempt(id, 0, {"h", "a", sent});
+      journal.record_attempt(id, 0, {"h", "a", sent});
     };
     found("open", now + -100ms, 0s);
     found("open-set-back", now + -100ms, 10min);
