--- a/copies/clock_offset.h
+++ b/copies/clock_offset.h
@@ -14,7 +14,7 @@
  public:
   // A word came that took so long by both clocks. Returns the least of the last kWindow at least, and of
   // twice that at most.
-  Duration heard(Time now, Duration took) {
+  Duration add_sample(Time now, Duration took) {
     if (now >= began_ + kWindow) {
       before_ = now < began_ + 2 * kWindow ? least_ : Duration::max();
       least_ = Duration::max();
--- a/copies/codec.cpp
+++ b/copies/codec.cpp
@@ -28,47 +28,51 @@
   return {static_cast<std::uint32_t>(n >> 16), static_cast<std::uint16_t>(n & 0xffff)};
 }
 
-void write(Writer& out, const Head& head) {
+void write(Writer& out, const GroupConfig& head) {
   out.number(head.copies);
-  for (const Seat& s : head.seats) {
-    out.text(s.name).number(s.life);
+  for (const MemberIdentity& s : head.members) {
+    out.text(s.name).number(s.storage_id);
     write(out, s.address);
   }
 }
 
-Head read_head(Reader& in) {
-  Head head;
+GroupConfig read_head(Reader& in) {
+  GroupConfig head;
   head.copies = static_cast<unsigned>(in.number());
-  for (Seat& s : head.seats) {
+  for (MemberIdentity& s : head.members) {
     s.name = in.text();
-    s.life = in.number();
+    s.storage_id = in.number();
     s.address = read_address(in);
   }
-  in.good = in.good && head.copies >= 1 && head.copies < kVoters;
+  in.good = in.good && head.copies >= 1 && head.copies < kGroupSize;
   return head;
 }
 
 // Times as the distance from `zero`.
 void write(Writer& out, const Item& item, Time zero) {
-  out.number(item.stamp.epoch).number(item.stamp.revision);
-  out.number((item.over ? 1 : 0) + (item.payload ? 2 : 0) + (item.owed ? 4 : 0));
+  out.number(item.version.epoch).number(item.version.revision);
+  out.number((item.completed ? 1 : 0) + (item.payload ? 2 : 0) + (item.pending_notice ? 4 : 0));
   if (item.payload) {
     const Payload& p = *item.payload;
-    out.text(p.id).text(p.cls).text(p.key).text(p.body).number(p.destination).flag(p.once);
+    out.text(p.id).text(p.cls).text(p.key).text(p.body).number(p.destination).flag(p.at_most_once);
   }
-  if (item.owed) out.flag(item.owed->handed_back).span(item.owed->retry_in);
-  out.span(item.until - zero).number(item.attempts.size());
+  if (item.pending_notice) out.flag(item.pending_notice->handed_back).span(item.pending_notice->retry_in);
+  out.span(item.deadline - zero).number(item.attempts.size());
   for (const Attempt& a : item.attempts) {
-    out.text(a.host).text(a.zone).span(a.sent - zero).number(a.by).number(static_cast<std::uint64_t>(a.fate));
+    out.text(a.host)
+        .text(a.zone)
+        .span(a.sent_at - zero)
+        .number(a.sender)
+        .number(static_cast<std::uint64_t>(a.state));
   }
 }
 
 Item read_item(Reader& in, Time zero) {
   Item item;
-  item.stamp.epoch = in.number();
-  item.stamp.revision = in.number();
+  item.version.epoch = in.number();
+  item.version.revision = in.number();
   const std::uint64_t flags = in.number();
-  item.over = (flags & 1) != 0;
+  item.completed = (flags & 1) != 0;
   if ((flags & 2) != 0) {
     Payload p;
     p.id = in.text();
@@ -76,64 +80,64 @@
     p.key = in.text();
     p.body = in.text();
     p.destination = in.number();
-    p.once = in.flag();
+    p.at_most_once = in.flag();
     item.payload = std::make_shared<const Payload>(std::move(p));
   }
   if ((flags & 4) != 0) {
-    Owed owed;
+    PendingNotice owed;
     owed.handed_back = in.flag();
     owed.retry_in = in.span();
-    item.owed = owed;
+    item.pending_notice = owed;
   }
-  item.until = zero + in.span();
+  item.deadline = zero + in.span();
   const std::size_t attempts = in.count();
   in.good = in.good && attempts <= kMostAttempts && flags < 8;
   for (std::size_t i = 0; in.good && i < attempts; ++i) {
     Attempt a;
     a.host = in.text();
     a.zone = in.text();
-    a.sent = zero + in.span();
+    a.sent_at = zero + in.span();
     const std::uint64_t by = in.number(), fate = in.number();
-    in.good = in.good && by < kVoters && fate <= static_cast<std::uint64_t>(Fate::may_have_run);
-    a.by = static_cast<Place>(by);
-    a.fate = static_cast<Fate>(fate);
+    in.good = in.good && by < kGroupSize && fate <= static_cast<std::uint64_t>(AttemptState::may_have_run);
+    a.sender = static_cast<MemberIndex>(by);
+    a.state = static_cast<AttemptState>(fate);
     item.attempts.push_back(std::move(a));
   }
   return item;
 }
 
-void write(Writer& out, const Say& s) {
-  out.number(static_cast<std::uint64_t>(s.kind)).number(s.from).number(s.epoch);
-  out.time(s.at).time(s.echo).number(s.items.size());
+void write(Writer& out, const GroupMessage& s) {
+  out.number(static_cast<std::uint64_t>(s.kind)).number(s.sender).number(s.epoch);
+  out.time(s.sent_at).time(s.echoed_sent_at).number(s.items.size());
   for (const auto& [id, item] : s.items) {
     out.text(id);
-    if (s.kind == Kind::ack) {
-      out.number(item.stamp.epoch).number(item.stamp.revision);
+    if (s.kind == GroupMessageKind::ack) {
+      out.number(item.version.epoch).number(item.version.revision);
     } else {
-      write(out, item, s.at);
+      write(out, item, s.sent_at);
     }
   }
 }
 
-Say read_say(Reader& in) {
-  Say s;
+GroupMessage read_say(Reader& in) {
+  GroupMessage s;
   const std::uint64_t kind = in.number(), from = in.number();
   s.epoch = in.number();
-  s.at = in.time<Time>();
-  s.echo = in.time<Time>();
+  s.sent_at = in.time<Time>();
+  s.echoed_sent_at = in.time<Time>();
   const std::size_t items = in.count();
-  in.good =
-      in.good && kind <= static_cast<std::uint64_t>(Kind::refuse) && from < kVoters && items <= kMostItems;
-  s.kind = static_cast<Kind>(kind);
-  s.from = static_cast<Place>(from);
+  in.good = in.good && kind <= static_cast<std::uint64_t>(GroupMessageKind::reject) && from < kGroupSize &&
+            items <= kMostItems;
+  s.kind = static_cast<GroupMessageKind>(kind);
+  s.sender = static_cast<MemberIndex>(from);
   for (std::size_t i = 0; in.good && i < items; ++i) {
     std::string id = in.text();
     Item item;
-    if (s.kind == Kind::ack) {
-      item.stamp.epoch = in.number();
-      item.stamp.revision = in.number();
+    if (s.kind == GroupMessageKind::ack) {
+      item.version.epoch = in.number();
+      item.version.revision = in.number();
     } else {
-      item = read_item(in, s.at);
+      item = read_item(in, s.sent_at);
     }
     if (in.good) s.items.emplace(std::move(id), std::move(item));
   }
@@ -144,12 +148,12 @@
 
 std::string encode(const Frame& frame) {
   Writer out(Tag::frame);
-  out.flag(frame.no_room).number(frame.words.size());
-  for (const Word& w : frame.words) {
+  out.flag(frame.no_room).number(frame.envelopes.size());
+  for (const Envelope& w : frame.envelopes) {
     write(out, w.group);
-    out.flag(w.head.has_value());
-    if (w.head) write(out, *w.head);
-    write(out, w.say);
+    out.flag(w.config.has_value());
+    if (w.config) write(out, *w.config);
+    write(out, w.message);
   }
   return out.record();
 }
@@ -162,55 +166,55 @@
   const std::size_t words = in.count();
   in.good = in.good && words <= kMostWords;
   for (std::size_t i = 0; in.good && i < words; ++i) {
-    Word w;
+    Envelope w;
     w.group = read_id(in);
-    if (in.flag()) w.head = read_head(in);
-    w.say = read_say(in);
-    frame.words.push_back(std::move(w));
+    if (in.flag()) w.config = read_head(in);
+    w.message = read_say(in);
+    frame.envelopes.push_back(std::move(w));
   }
   if (!in.good || !in.empty()) return std::nullopt;
   return frame;
 }
 
-std::string encode(const Published& p) {
+std::string encode(const PublishedMember& p) {
   Writer out(Tag::published);
   write(out, p.address);
-  out.number(p.life).number(p.room);
+  out.number(p.storage_id).number(p.free_eighths);
   return out.record();
 }
 
-std::optional<Published> decode_published(std::string_view bytes) {
+std::optional<PublishedMember> decode_published(std::string_view bytes) {
   Reader outer(bytes);
   const auto payload = outer.record();
   if (!payload) return std::nullopt;
   Reader in(*payload);
   if (in.kind<Tag>() != Tag::published) return std::nullopt;
-  Published p;
+  PublishedMember p;
   p.address = read_address(in);
-  p.life = in.number();
-  p.room = static_cast<std::uint8_t>(in.number());
+  p.storage_id = in.number();
+  p.free_eighths = static_cast<std::uint8_t>(in.number());
   if (!in.good || !p.address) return std::nullopt;
   return p;
 }
 
-std::string record_of_format(std::uint64_t life, std::string_view member) {
+std::string format_record(std::uint64_t life, std::string_view member) {
   return Writer(RecordKind::format).number(kFormat).number(life).text(member).record();
 }
 
-std::string record_of(const GroupId& id, const Head& head, Place self) {
+std::string group_record(const GroupId& id, const GroupConfig& head, MemberIndex self) {
   Writer out(RecordKind::group);
   write(out, id);
   write(out, head);
   return out.number(self).record();
 }
 
-std::string record_of(const GroupId& id, std::uint64_t promised, Place owner) {
+std::string promise_record(const GroupId& id, std::uint64_t promised, MemberIndex owner) {
   Writer out(RecordKind::promise);
   write(out, id);
   return out.number(promised).number(owner).record();
 }
 
-std::string record_of(const GroupId& id, const std::string& item_id, const Item& item, Duration wall) {
+std::string item_record(const GroupId& id, const std::string& item_id, const Item& item, Duration wall) {
   Writer out(RecordKind::item);
   write(out, id);
   out.text(item_id);
@@ -218,25 +222,23 @@
   return out.record();
 }
 
-std::string record_of_forgotten(const GroupId& id, const std::string& item_id) {
+std::string forget_item_record(const GroupId& id, const std::string& item_id) {
   Writer out(RecordKind::forget_item);
   write(out, id);
   return out.text(item_id).record();
 }
 
-std::string record_of_dropped(const GroupId& id) {
+std::string drop_record(const GroupId& id) {
   Writer out(RecordKind::drop);
   write(out, id);
   return out.record();
 }
 
-std::string record_of_clock(std::uint64_t boot, Duration wall) {
+std::string clock_record(std::uint64_t boot, Duration wall) {
   return Writer(RecordKind::clock).number(boot).span(wall).record();
 }
 
-std::string record_of_synced(std::uint64_t bytes) {
-  return Writer(RecordKind::synced).number(bytes).record();
-}
+std::string synced_record(std::uint64_t bytes) { return Writer(RecordKind::synced).number(bytes).record(); }
 
 namespace {
 
@@ -252,42 +254,42 @@
 }
 
 // One record into what was read before it. False: it can't be.
-bool take(Stored& all, std::string_view payload, Duration& wall, std::uint64_t boot) {
+bool take(StoredState& all, std::string_view payload, Duration& wall, std::uint64_t boot) {
   Reader in(payload);
   const auto kind = in.kind<RecordKind>();
   if (kind == RecordKind::format) {
-    all.later = in.number() > kFormat;
-    if (all.later) return false;
-    all.life = in.number();
+    all.newer_format = in.number() > kFormat;
+    if (all.newer_format) return false;
+    all.storage_id = in.number();
     all.member = in.text();
     return in.good && in.empty();
   }
   if (kind == RecordKind::synced) {
     (void)in.number();
-    all.marked = true;
+    all.has_sync_records = true;
     return in.good && in.empty();
   }
   if (kind == RecordKind::clock) {
     const std::uint64_t written_in = in.number();
     const auto written_by = Duration(static_cast<std::int64_t>(in.number()));
-    if (boot != 0 && written_in == boot) all.wall = wall = written_by;
+    if (boot != 0 && written_in == boot) all.wall_offset = wall = written_by;
     return in.good && in.empty();
   }
   const GroupId id = read_id(in);
   const auto found = all.groups.find(id);
   if (kind == RecordKind::group) {
-    const Head head = read_head(in);
+    const GroupConfig head = read_head(in);
     const std::uint64_t self = in.number();
-    if (!in.good || self >= kVoters) return false;
-    all.groups.insert_or_assign(id, Stored::Entry{head, static_cast<Place>(self), {}});
+    if (!in.good || self >= kGroupSize) return false;
+    all.groups.insert_or_assign(id, StoredState::Entry{head, static_cast<MemberIndex>(self), {}});
     return in.empty();
   }
   if (found == all.groups.end()) return false;
-  Group::Durable& durable = found->second.durable;
+  Group::DurableState& durable = found->second.durable;
   switch (kind) {
     case RecordKind::promise:
-      durable.promised = in.number();
-      durable.owner = static_cast<Place>(in.number());
+      durable.promised_epoch = in.number();
+      durable.owner = static_cast<MemberIndex>(in.number());
       break;
     case RecordKind::item: {
       const std::string item_id = in.text();
@@ -311,19 +313,19 @@
 
 // Nothing behind a record that can't be read counts. It was torn off where it is cut short or, in a file that
 // says how much of it was synced, lies beyond that; else it is damaged.
-Stored read_stored(std::string_view file, Duration wall, std::uint64_t boot) {
-  Stored all;
+StoredState read_stored(std::string_view file, Duration wall, std::uint64_t boot) {
+  StoredState all;
   Reader outer(file);
   while (!outer.empty()) {
-    const std::string_view rest = file.substr(all.bytes);
+    const std::string_view rest = file.substr(all.valid_bytes);
     const auto payload = outer.record();
     if (!payload || !take(all, *payload, wall, boot)) {
       const bool cut = !payload && (rest.size() < myrtlegrade::kRecordHeader ||
                                     rest.size() < myrtlegrade::kRecordHeader + Reader(rest).number(4));
-      all.damaged = !all.later && (all.marked ? was_synced(file, all.bytes) : !cut);
+      all.damaged = !all.newer_format && (all.has_sync_records ? was_synced(file, all.valid_bytes) : !cut);
       break;
     }
-    all.bytes += myrtlegrade::kRecordHeader + payload->size();
+    all.valid_bytes += myrtlegrade::kRecordHeader + payload->size();
   }
   return all;
 }
--- a/copies/codec.h
+++ b/copies/codec.h
@@ -22,27 +22,27 @@
 };
 
 // One that belongs to a group. `life` is drawn with its folder: who has lost that is another one.
-struct Seat {
+struct MemberIdentity {
   std::string name;
-  std::uint64_t life = 0;
+  std::uint64_t storage_id = 0;
   membership::Address address;
-  auto operator<=>(const Seat&) const = default;
+  auto operator<=>(const MemberIdentity&) const = default;
 };
 
-struct Head {
+struct GroupConfig {
   unsigned copies = 1;  // of the two others, how many have the messages' bodies
-  std::array<Seat, kVoters> seats;
+  std::array<MemberIdentity, kGroupSize> members;
 };
 
 // What is said in one group. With the head as long as the other may not know the group.
-struct Word {
+struct Envelope {
   GroupId group;
-  std::optional<Head> head;
-  Say say;
+  std::optional<GroupConfig> config;
+  GroupMessage message;
 };
 
 struct Frame {
-  std::vector<Word> words;
+  std::vector<Envelope> envelopes;
   bool no_room = false;  // the sender takes no more bodies for the time being
 };
 
@@ -51,44 +51,44 @@
 std::optional<Frame> decode_frame(std::string_view bytes);
 
 // What a member says of itself in the view: where its copies go to, and how much room it has, in eighths.
-struct Published {
+struct PublishedMember {
   membership::Address address;
-  std::uint64_t life = 0;
-  std::uint8_t room = 0;
+  std::uint64_t storage_id = 0;
+  std::uint8_t free_eighths = 0;
 };
-std::string encode(const Published& published);
-std::optional<Published> decode_published(std::string_view bytes);
+std::string encode(const PublishedMember& published);
+std::optional<PublishedMember> decode_published(std::string_view bytes);
 
 // Records of the file. Times in it are the day's, by `wall`: what that clock shows at the member's own
 // Time{}. A clock record tells by which `wall` what follows was written, and in which run of the machine
 // (`boot`): within that run the member's own clock goes on, and the time of day may have been set since.
 enum class RecordKind : std::uint8_t { format = 1, group, promise, item, forget_item, drop, synced, clock };
-std::string record_of_clock(std::uint64_t boot, Duration wall);
-std::string record_of_format(std::uint64_t life, std::string_view member);
-std::string record_of(const GroupId& id, const Head& head, Place self);
-std::string record_of(const GroupId& id, std::uint64_t promised, Place owner);
-std::string record_of(const GroupId& id, const std::string& item_id, const Item& item, Duration wall);
-std::string record_of_forgotten(const GroupId& id, const std::string& item_id);
-std::string record_of_dropped(const GroupId& id);
-std::string record_of_synced(std::uint64_t bytes);  // of the file, before this record was written
+std::string clock_record(std::uint64_t boot, Duration wall);
+std::string format_record(std::uint64_t life, std::string_view member);
+std::string group_record(const GroupId& id, const GroupConfig& config, MemberIndex self);
+std::string promise_record(const GroupId& id, std::uint64_t promised_epoch, MemberIndex owner);
+std::string item_record(const GroupId& id, const std::string& item_id, const Item& item, Duration wall);
+std::string forget_item_record(const GroupId& id, const std::string& item_id);
+std::string drop_record(const GroupId& id);
+std::string synced_record(std::uint64_t bytes);  // of the file, before this record was written
 
-struct Stored {
+struct StoredState {
   struct Entry {
-    Head head;
-    Place self = 0;
-    Group::Durable durable;
+    GroupConfig config;
+    MemberIndex self = 0;
+    Group::DurableState durable;
   };
-  std::uint64_t life = 0;
+  std::uint64_t storage_id = 0;
   std::string member;
   std::map<GroupId, Entry> groups;
-  std::size_t bytes = 0;  // that could be read: what follows is torn
-  bool later = false;     // written by a later program
+  std::size_t valid_bytes = 0;  // that could be read: what follows is torn
+  bool newer_format = false;    // written by a later program
   // What follows is no torn tail: what it had promised can't be known.
-  bool marked = false;  // says how much of it was synced
+  bool has_sync_records = false;  // says how much of it was synced
   bool damaged = false;
-  std::optional<Duration> wall;  // by which it was written, where that was in this run of the machine
+  std::optional<Duration> wall_offset;  // by which it was written, where that was in this run of the machine
 };
 // `boot`: this run of the machine; 0: not known.
-Stored read_stored(std::string_view file, Duration wall, std::uint64_t boot = 0);
+StoredState read_stored(std::string_view file, Duration wall, std::uint64_t boot = 0);
 
 }  // namespace valedrum::copies
--- a/copies/copies.cpp
+++ b/copies/copies.cpp
@@ -24,26 +24,26 @@
 
 }  // namespace
 
-void check(const CopiesSettings& s) {
+void validate(const CopiesSettings& s) {
   const auto want = [](bool holds, const char* what) {
     if (!holds) throw std::invalid_argument(what);
   };
-  want(s.copies >= 1 && s.copies < kVoters, "copies: must be 1 or 2");
-  want(s.spread >= 1 && s.spread <= kMostSpread, "spread: must be 1 to 64");
+  want(s.copies >= 1 && s.copies < kGroupSize, "copies: must be 1 or 2");
+  want(s.group_count >= 1 && s.group_count <= kMostSpread, "spread: must be 1 to 64");
   want(s.lease >= 100ms && s.lease <= 1min, "lease_ms: must be 100 to 60000");
-  want(s.answer_within >= 10ms && s.answer_within <= 10s, "answer_ms: must be 10 to 10000");
-  want(s.budget >= 64U << 10, "budget_kb: must be 64 at least");
+  want(s.answer_timeout >= 10ms && s.answer_timeout <= 10s, "answer_ms: must be 10 to 10000");
+  want(s.body_budget >= 64U << 10, "budget_kb: must be 64 at least");
 }
 
-Copies::Copies(CopiesSettings settings, Self self, Stored stored, std::uint64_t seed, Time now)
-    : settings_(std::move(settings)), self_(std::move(self)), engine_(seed), current_(settings_.spread) {
-  check(settings_);
-  self_.seat.life = stored.life;
-  while (self_.seat.life == 0) self_.seat.life = engine_();
+Copies::Copies(CopiesSettings settings, LocalMember self, StoredState stored, std::uint64_t seed, Time now)
+    : settings_(std::move(settings)), self_(std::move(self)), engine_(seed), current_(settings_.group_count) {
+  validate(settings_);
+  self_.identity.storage_id = stored.storage_id;
+  while (self_.identity.storage_id == 0) self_.identity.storage_id = engine_();
   for (auto& [id, entry] : stored.groups) {
-    Group group(settings_, {entry.self, entry.head.copies}, std::move(entry.durable), Group::Start::restarted,
-                now);
-    const auto at = groups_.emplace(id, Held{entry.head, std::move(group), now, now, true}).first;
+    Group group(settings_, {entry.self, entry.config.copies}, std::move(entry.durable),
+                Group::Start::restarted, now);
+    const auto at = groups_.emplace(id, Held{entry.config, std::move(group), now, now, true}).first;
     for (const auto& [item_id, item] : at->second.group.items()) {
       where_.insert_or_assign(item_id, id);
       at->second.ends.update(item_id, &item);
@@ -54,24 +54,24 @@
 
 // -------------------------------------------------------------------------------------------- the view
 
-void Copies::candidates(Time, std::vector<Candidate> candidates) {
+void Copies::set_candidates(Time, std::vector<Candidate> candidates) {
   candidates_ = std::move(candidates);
   for (const auto& id : current_) {
     const auto at = id ? groups_.find(*id) : groups_.end();
     if (at == groups_.end()) continue;
-    for (Place p = 1; p < kVoters; ++p) {
-      const Seat& seat = at->second.head.seats[p];
+    for (MemberIndex p = 1; p < kGroupSize; ++p) {
+      const MemberIdentity& seat = at->second.head.members[p];
       const auto there = [&](const Candidate& c) {
-        return c.seat.name == seat.name && c.seat.life == seat.life;
+        return c.identity.name == seat.name && c.identity.storage_id == seat.storage_id;
       };
       if (std::ranges::none_of(candidates_, there)) at->second.sealed = true;
     }
   }
 }
 
-std::uint8_t Copies::room() const {
-  const std::size_t free = settings_.budget - std::min(held_bytes_, settings_.budget);
-  return static_cast<std::uint8_t>(free * 8 / settings_.budget);
+std::uint8_t Copies::free_eighths() const {
+  const std::size_t free = settings_.body_budget - std::min(held_bytes_, settings_.body_budget);
+  return static_cast<std::uint8_t>(free * 8 / settings_.body_budget);
 }
 
 bool Copies::avoided(Time now, const std::string& name) const {
@@ -80,8 +80,8 @@
 }
 
 void Copies::avoid(Time now, const std::string& name) {
-  avoided_[name] = now + settings_.avoid_for;
-  for (auto& [id, held] : groups_) held.sealed = held.sealed || place_of(held.head, name) < kVoters;
+  avoided_[name] = now + settings_.avoidance_period;
+  for (auto& [id, held] : groups_) held.sealed = held.sealed || place_of(held.head, name) < kGroupSize;
 }
 
 // Weighted rendezvous: each candidate has its own draw for this origin and shard, so that one more or less
@@ -89,10 +89,10 @@
 std::vector<const Candidate*> Copies::choose(Time now, unsigned shard) const {
   std::vector<std::pair<double, const Candidate*>> ranked;
   for (const Candidate& c : candidates_) {
-    if (c.machine == self_.machine || c.room == 0 || avoided(now, c.seat.name)) continue;
-    const std::string text = self_.seat.name + '\0' + std::to_string(shard) + '\0' + c.seat.name;
+    if (c.machine == self_.machine || c.free_eighths == 0 || avoided(now, c.identity.name)) continue;
+    const std::string text = self_.identity.name + '\0' + std::to_string(shard) + '\0' + c.identity.name;
     const double draw = (static_cast<double>(XXH3_64bits(text.data(), text.size()) >> 11) + 0.5) * 0x1p-53;
-    ranked.emplace_back(-static_cast<double>(c.room) / std::log(draw), &c);
+    ranked.emplace_back(-static_cast<double>(c.free_eighths) / std::log(draw), &c);
   }
   std::ranges::sort(ranked, std::greater<>());
   std::vector<const Candidate*> chosen;
@@ -111,7 +111,7 @@
 // again, and a second group under the name of one that is open would take that one's messages out of the
 // file.
 GroupId Copies::new_group_id() {
-  GroupId id{self_.seat.name, engine_()};
+  GroupId id{self_.identity.name, engine_()};
   while (groups_.contains(id)) id.number = engine_();
   return id;
 }
@@ -120,118 +120,120 @@
   const auto chosen = choose(now, shard);
   if (chosen.empty()) return groups_.end();
   const GroupId id = new_group_id();
-  Head head;
+  GroupConfig head;
   head.copies = settings_.copies;
-  head.seats[0] = self_.seat;
-  for (Place p = 1; p < kVoters; ++p) head.seats[p] = chosen[p - 1U]->seat;
+  head.members[0] = self_.identity;
+  for (MemberIndex p = 1; p < kGroupSize; ++p) head.members[p] = chosen[p - 1U]->identity;
   Group group(settings_, {0, head.copies}, {}, Group::Start::opened, now);
   const auto at = groups_.emplace(id, Held{head, std::move(group), now, now, false}).first;
   current_[shard] = id;
   records_.push_back({id, ToRecord::What::group, {}});
-  ++counters_.groups;
+  ++counters_.groups_opened;
   return at;
 }
 
 // ------------------------------------------------------------------------------- what the relay holds
 
 std::uint64_t Copies::shard_of(const std::string& id) const {
-  return XXH3_64bits(id.data(), id.size()) % settings_.spread;
+  return XXH3_64bits(id.data(), id.size()) % settings_.group_count;
 }
 
-Copies::Taken Copies::take(Time now, const std::string& id, Item item) {
-  if (where_.contains(id)) return Taken::refused;
+Copies::Placement Copies::add(Time now, const std::string& id, Item item) {
+  if (where_.contains(id)) return Placement::refused;
   const auto shard = static_cast<unsigned>(shard_of(id));
   auto at = current_[shard] ? groups_.find(*current_[shard]) : groups_.end();
-  const bool usable = at != groups_.end() && !at->second.sealed && at->second.group.owns();
+  const bool usable = at != groups_.end() && !at->second.sealed && at->second.group.is_owner();
   if (!usable) at = open(now, shard);
-  const bool full = own_bytes_ + size_of(item) > settings_.budget;
+  const bool full = own_bytes_ + size_of(item) > settings_.body_budget;
   if (at == groups_.end() || full) {
-    const bool refuse = settings_.on_shortage == Shortage::refuse;
-    ++(refuse ? counters_.refused : counters_.unplaced);
-    if (refuse) return Taken::refused;
+    const bool refuse = settings_.on_shortage == ShortagePolicy::refuse;
+    ++(refuse ? counters_.refused : counters_.local_only);
+    if (refuse) return Placement::refused;
     alone_.insert(id);
-    return Taken::alone;
+    return Placement::local_only;
   }
   own_bytes_ += size_of(item);
   at->second.group.put(id, std::move(item));
   where_.emplace(id, at->first);
   ++counters_.placed;
   look_at_ = std::min(look_at_, now + kLook);
-  return Taken::placed;
+  return Placement::placed;
 }
 
-Copies::Held* Copies::find(const std::string& id) {
+Copies::Held* Copies::find_group(const std::string& id) {
   const auto found = where_.find(id);
   return found == where_.end() ? nullptr : &groups_.at(found->second);
 }
-const Copies::Held* Copies::find(const std::string& id) const { return const_cast<Copies*>(this)->find(id); }
+const Copies::Held* Copies::find_group(const std::string& id) const {
+  return const_cast<Copies*>(this)->find_group(id);
+}
 
-const Item* Copies::look(const std::string& id) const {
-  const Held* held = find(id);
+const Item* Copies::find(const std::string& id) const {
+  const Held* held = find_group(id);
   return held ? held->group.find(id) : nullptr;
 }
 
 template <typename Change>
 void Copies::change(Time, const std::string& id, Change&& how) {
-  Held* held = find(id);
-  const Item* item = held && held->group.owns() ? held->group.find(id) : nullptr;
+  Held* held = find_group(id);
+  const Item* item = held && held->group.is_owner() ? held->group.find(id) : nullptr;
   if (!item) return;
   Item changed = *item;
   if (how(changed)) held->group.put(id, std::move(changed));
 }
 
-void Copies::attempt(Time now, const std::string& id, Attempt attempt) {
-  attempt.sent = now;
+void Copies::add_attempt(Time now, const std::string& id, Attempt attempt) {
+  attempt.sent_at = now;
   change(now, id, [&](Item& item) {
-    attempt.by = find(id)->group.shape().self;
+    attempt.sender = find_group(id)->group.shape().index;
     item.attempts.push_back(std::move(attempt));
     return true;
   });
 }
 
-void Copies::fate(Time now, const std::string& id, std::size_t number, Fate fate) {
+void Copies::set_attempt_state(Time now, const std::string& id, std::size_t number, AttemptState fate) {
   change(now, id, [&](Item& item) {
-    if (number >= item.attempts.size() || item.attempts[number].fate == fate) return false;
-    item.attempts[number].fate = fate;
+    if (number >= item.attempts.size() || item.attempts[number].state == fate) return false;
+    item.attempts[number].state = fate;
     return true;
   });
 }
 
-void Copies::owe(Time now, const std::string& id, Owed owed) {
+void Copies::set_pending_notice(Time now, const std::string& id, PendingNotice owed) {
   change(now, id, [&](Item& item) {
-    item.over = true;
-    item.owed = owed;
+    item.completed = true;
+    item.pending_notice = owed;
     return true;
   });
 }
 
-void Copies::over(Time now, const std::string& id) {
+void Copies::complete(Time now, const std::string& id) {
   alone_.erase(id);
   change(now, id, [](Item& item) {
     const bool changes = item.live();
-    item.over = true;
-    item.owed.reset();
+    item.completed = true;
+    item.pending_notice.reset();
     return changes;
   });
 }
 
 bool Copies::may_call(Time now, const std::string& id) const {
-  const Held* held = find(id);
+  const Held* held = find_group(id);
   return held ? held->group.may_call(id, now) : alone_.contains(id);
 }
 
-bool Copies::is_own(const std::string& id) const {
-  const Held* held = find(id);
-  return held ? held->group.owns() : alone_.contains(id);
+bool Copies::is_owner(const std::string& id) const {
+  const Held* held = find_group(id);
+  return held ? held->group.is_owner() : alone_.contains(id);
 }
 
 // --------------------------------------------------------------------------------------------- tickets
 
-std::uint64_t Copies::await(Time now, std::vector<std::string> ids, Need need) {
-  Time until = now + settings_.answer_within;
+std::uint64_t Copies::wait_for(Time now, std::vector<std::string> ids, Requirement need) {
+  Time until = now + settings_.answer_timeout;
   for (const std::string& id : ids) {
-    const Item* item = need == Need::tell ? look(id) : nullptr;
-    if (item) until = std::clamp(item->until + kLeftToOwner, now, until);
+    const Item* item = need == Requirement::notice ? find(id) : nullptr;
+    if (item) until = std::clamp(item->deadline + kOwnerGracePeriod, now, until);
   }
   tickets_.push_back({++last_ticket_, std::move(ids), need, until});
   return last_ticket_;
@@ -239,36 +241,38 @@
 
 Copies::Answer Copies::answer(Time now, const Ticket& ticket) {
   for (const std::string& id : ticket.ids) {
-    const Held* held = find(id);
+    const Held* held = find_group(id);
     const Item* item = held ? held->group.find(id) : nullptr;
     if (!item && alone_.contains(id)) continue;
-    if (!item || !held->group.owns() || (item->over && ticket.need != Need::tell)) return Answer::bad;
-    if (ticket.need == Need::promise) {
-      if (held->group.held(id, true) >= held->head.copies) continue;
-      for (Place p = 1; p <= held->head.copies; ++p) {
-        if (!held->group.has_newest(p, id) && avoided(now, held->head.seats[p].name)) return Answer::bad;
+    if (!item || !held->group.is_owner() || (item->completed && ticket.need != Requirement::notice))
+      return Answer::bad;
+    if (ticket.need == Requirement::acceptance) {
+      if (held->group.replica_count(id, true) >= held->head.copies) continue;
+      for (MemberIndex p = 1; p <= held->head.copies; ++p) {
+        if (!held->group.is_up_to_date(p, id) && avoided(now, held->head.members[p].name)) return Answer::bad;
       }
       return Answer::wait;
     }
     // A message that is called for before it is promised could be refused to its client and have run.
     const bool first =
-        ticket.need == Need::act && held->group.shape().self == 0 && item->attempts.size() == 1;
-    if (first && held->group.held(id, true) < held->head.copies) return Answer::wait;
-    const bool known = held->group.leads(now) && held->group.held(id, false) > 0;
-    if (ticket.need == Need::tell ? !known : !held->group.may_call(id, now)) return Answer::wait;
+        ticket.need == Requirement::call && held->group.shape().index == 0 && item->attempts.size() == 1;
+    if (first && held->group.replica_count(id, true) < held->head.copies) return Answer::wait;
+    const bool known = held->group.holds_lease(now) && held->group.replica_count(id, false) > 0;
+    if (ticket.need == Requirement::notice ? !known : !held->group.may_call(id, now)) return Answer::wait;
   }
   return Answer::good;
 }
 
 // Whoever has not answered is left out for a while: messages that come now must not wait for it too.
 void Copies::late(Time now, const Ticket& ticket) {
-  ++counters_.late;
+  ++counters_.ticket_timeouts;
   for (const std::string& id : ticket.ids) {
-    const Held* held = find(id);
-    if (!held || !held->group.owns()) continue;
-    const Head head = held->head;
-    for (Place p = 0; p < kVoters; ++p) {
-      if (p != held->group.shape().self && !held->group.has_newest(p, id)) avoid(now, head.seats[p].name);
+    const Held* held = find_group(id);
+    if (!held || !held->group.is_owner()) continue;
+    const GroupConfig head = held->head;
+    for (MemberIndex p = 0; p < kGroupSize; ++p) {
+      if (p != held->group.shape().index && !held->group.is_up_to_date(p, id))
+        avoid(now, head.members[p].name);
     }
   }
 }
@@ -281,10 +285,11 @@
       late(now, t);
       a = Answer::bad;
     }
-    if (a == Answer::bad && t.need == Need::promise && settings_.on_shortage == Shortage::accept) {
-      const bool own = std::ranges::all_of(t.ids, [&](const std::string& id) { return is_own(id); });
+    if (a == Answer::bad && t.need == Requirement::acceptance &&
+        settings_.on_shortage == ShortagePolicy::accept) {
+      const bool own = std::ranges::all_of(t.ids, [&](const std::string& id) { return is_owner(id); });
       if (own) {
-        counters_.short_of += t.ids.size();
+        counters_.under_replicated += t.ids.size();
         a = Answer::good;
       }
     }
@@ -292,43 +297,45 @@
       left.push_back(std::move(t));
       continue;
     }
-    if (a == Answer::bad && t.need == Need::promise) counters_.refused += t.ids.size();
-    events_.emplace_back(Done{t.number, a == Answer::good});
+    if (a == Answer::bad && t.need == Requirement::acceptance) counters_.refused += t.ids.size();
+    events_.emplace_back(TicketCompleted{t.number, a == Answer::good});
   }
   tickets_ = std::move(left);
 }
 
 // ------------------------------------------------------------------------------------ what others say
 
-Place Copies::place_of(const Head& head, std::string_view name) const {
-  const auto found = std::ranges::find(head.seats, name, &Seat::name);
-  return static_cast<Place>(found - head.seats.begin());
+MemberIndex Copies::place_of(const GroupConfig& head, std::string_view name) const {
+  const auto found = std::ranges::find(head.members, name, &MemberIdentity::name);
+  return static_cast<MemberIndex>(found - head.members.begin());
 }
 
 void Copies::receive(Time now, const std::string& from, const Frame& frame) {
   if (frame.no_room) avoid(now, from);
-  for (const Word& word : frame.words) receive(now, from, word);
+  for (const Envelope& word : frame.envelopes) receive(now, from, word);
   judge_tickets(now);
 }
 
-void Copies::receive(Time now, const std::string& from, const Word& word) {
+void Copies::receive(Time now, const std::string& from, const Envelope& word) {
   auto at = groups_.find(word.group);
   const bool unknown = at == groups_.end();
   if (unknown) {
     // Only one that has never known it, and is not the origin, may begin to: another life may have promised
     // what this one can't know.
-    const Place self = word.head ? place_of(*word.head, self_.seat.name) : kVoters;
-    const bool mine = self > 0 && self < kVoters && word.head->seats[self].life == self_.seat.life &&
-                      place_of(*word.head, from) < kVoters;
-    if (word.say.kind == Kind::append && mine) {
-      Group group(settings_, {self, word.head->copies}, {}, Group::Start::opened, now);
-      at = groups_.emplace(word.group, Held{*word.head, std::move(group), now, now, true}).first;
+    const MemberIndex self = word.config ? place_of(*word.config, self_.identity.name) : kGroupSize;
+    const bool mine = self > 0 && self < kGroupSize &&
+                      word.config->members[self].storage_id == self_.identity.storage_id &&
+                      place_of(*word.config, from) < kGroupSize;
+    if (word.message.kind == GroupMessageKind::append && mine) {
+      Group group(settings_, {self, word.config->copies}, {}, Group::Start::opened, now);
+      at = groups_.emplace(word.group, Held{*word.config, std::move(group), now, now, true}).first;
       records_.push_back({word.group, ToRecord::What::group, {}});
-    } else if (word.say.kind == Kind::append || word.say.kind == Kind::ask) {
-      Say refusal;
-      refusal.kind = Kind::refuse;
+    } else if (word.message.kind == GroupMessageKind::append ||
+               word.message.kind == GroupMessageKind::vote_request) {
+      GroupMessage refusal;
+      refusal.kind = GroupMessageKind::reject;
       refusal.epoch = kUnknownGroup;
-      refusal.at = now;
+      refusal.sent_at = now;
       auto& [seat, words] = words_[from];
       seat.name = from;
       words.push_back({word.group, std::nullopt, std::move(refusal)});
@@ -338,33 +345,33 @@
     }
   }
   Held& held = at->second;
-  Say say = word.say;
-  say.from = place_of(held.head, from);
-  if (say.from >= kVoters || say.from == held.group.shape().self) {
-    ++counters_.foreign;
+  GroupMessage say = word.message;
+  say.sender = place_of(held.head, from);
+  if (say.sender >= kGroupSize || say.sender == held.group.shape().index) {
+    ++counters_.foreign_messages;
     return;
   }
   held.heard = now;
-  if (say.kind == Kind::refuse && say.epoch == kUnknownGroup) {
-    held.useless[say.from] = held.sealed = true;
+  if (say.kind == GroupMessageKind::reject && say.epoch == kUnknownGroup) {
+    held.useless[say.sender] = held.sealed = true;
     return;
   }
-  held.knows[say.from] = say.kind != Kind::ask;
-  if (say.kind == Kind::append) {
+  held.knows[say.sender] = say.kind != GroupMessageKind::vote_request;
+  if (say.kind == GroupMessageKind::append) {
     std::erase_if(say.items, [&](const auto& entry) {
       if (!entry.second.payload || held.group.find(entry.first)) return false;
       const std::size_t size = size_of(entry.second);
-      const bool full = held_bytes_ + size > settings_.budget;
+      const bool full = held_bytes_ + size > settings_.body_budget;
       if (full) {
         no_room_ = true;
-        ++counters_.no_room;
+        ++counters_.bodies_rejected;
       } else {
         held_bytes_ += size;
       }
       return full;
     });
   }
-  const Duration offset = offsets_[from].heard(now, now - word.say.at);
+  const Duration offset = offsets_[from].add_sample(now, now - word.message.sent_at);
   if (!say.items.empty()) look_at_ = std::min(look_at_, now + kLook);
   held.group.receive(now, say, offset);
   settle(at);
@@ -373,8 +380,8 @@
 void Copies::connected(Time now, const std::string& name) {
   offsets_.erase(name);
   for (auto at = groups_.begin(); at != groups_.end(); ++at) {
-    const Place p = place_of(at->second.head, name);
-    if (p >= kVoters || p == at->second.group.shape().self) continue;
+    const MemberIndex p = place_of(at->second.head, name);
+    if (p >= kGroupSize || p == at->second.group.shape().index) continue;
     at->second.group.reconnected(p);
     at->second.group.flush(now);
     settle(at);
@@ -385,21 +392,21 @@
 
 void Copies::hand_out(Groups::iterator at, const std::string& id) {
   const Item& item = *at->second.group.find(id);
-  if (item.owed) {
-    events_.emplace_back(Expired{id, *item.owed});
+  if (item.pending_notice) {
+    events_.emplace_back(Expired{id, *item.pending_notice});
     return;
   }
-  ++counters_.inherited;
-  Inherited inherited{id, item, {}};
-  for (const Attempt& a : item.attempts) inherited.astray.push_back(at->second.group.astray(a));
+  ++counters_.taken_over;
+  OwnershipGained inherited{id, item, {}};
+  for (const Attempt& a : item.attempts) inherited.orphaned.push_back(at->second.group.is_orphaned(a));
   events_.emplace_back(std::move(inherited));
 }
 
 void Copies::settle(Groups::iterator at) {
   Held& held = at->second;
   Group& group = held.group;
-  const Group::Turn turn = group.take_turn();
-  const Group::Changed changed = group.take_changed();
+  const Group::OwnershipChange turn = group.take_ownership_change();
+  const Group::Changes changed = group.take_changes();
   if (changed.promise) records_.push_back({at->first, ToRecord::What::promise, {}});
   for (const std::string& id : changed.items) {
     records_.push_back({at->first, ToRecord::What::item, id});
@@ -410,31 +417,31 @@
       continue;
     }
     where_.emplace(id, at->first);
-    if (!group.owns() && !item->live()) events_.emplace_back(Ended{id});
+    if (!group.is_owner() && !item->live()) events_.emplace_back(CompletedElsewhere{id});
   }
-  if (turn == Group::Turn::lost) {
-    ++counters_.lost;
-    events_.emplace_back(Noted{"another may act on the messages of " + at->first.origin +
-                               " from now on, epoch " + std::to_string(group.epoch()) + ", " +
-                               std::to_string(group.live_count()) + " without an end"});
+  if (turn == Group::OwnershipChange::lost) {
+    ++counters_.ownerships_lost;
+    events_.emplace_back(LogLine{"another may act on the messages of " + at->first.origin +
+                                 " from now on, epoch " + std::to_string(group.epoch()) + ", " +
+                                 std::to_string(group.live_count()) + " without an end"});
     held.sealed = true;
-    for (const auto& [id, item] : group.items()) events_.emplace_back(Lost{id});
+    for (const auto& [id, item] : group.items()) events_.emplace_back(OwnershipLost{id});
   }
-  if (turn == Group::Turn::won) {
-    ++counters_.won;
-    events_.emplace_back(Noted{"acts on the messages of " + at->first.origin + " from now on, epoch " +
-                               std::to_string(group.epoch()) + ", " + std::to_string(group.live_count()) +
-                               " without an end"});
+  if (turn == Group::OwnershipChange::gained) {
+    ++counters_.ownerships_gained;
+    events_.emplace_back(LogLine{"acts on the messages of " + at->first.origin + " from now on, epoch " +
+                                 std::to_string(group.epoch()) + ", " + std::to_string(group.live_count()) +
+                                 " without an end"});
     for (const auto& [id, item] : group.items()) {
       if (item.live()) hand_out(at, id);
     }
   }
-  for (auto& [to, say] : group.take()) {
+  for (auto& [to, say] : group.take_messages()) {
     if (held.useless[to]) continue;
-    const Seat& seat = held.head.seats[to];
+    const MemberIdentity& seat = held.head.members[to];
     auto& [known, words] = words_[seat.name];
     known = seat;
-    const bool tell_head = say.kind == Kind::append && !held.knows[to];
+    const bool tell_head = say.kind == GroupMessageKind::append && !held.knows[to];
     words.push_back({at->first, tell_head ? std::optional(held.head) : std::nullopt, std::move(say)});
   }
 }
@@ -445,7 +452,7 @@
     const Item* item = held.group.find(id);
     if (!item || !item->live()) continue;
     ++counters_.expired;
-    events_.emplace_back(Expired{id, item->owed.value_or(Owed{})});
+    events_.emplace_back(Expired{id, item->pending_notice.value_or(PendingNotice{})});
   }
 }
 
@@ -463,11 +470,11 @@
       Held& held = at->second;
       held.group.prune(now, kRemembered);
       settle(at);
-      held.sealed = held.sealed || now > held.opened + settings_.group_for;
-      const bool own = held.group.shape().self == 0;
+      held.sealed = held.sealed || now > held.opened + settings_.group_lifetime;
+      const bool own = held.group.shape().index == 0;
       for (const auto& [id, item] : held.group.items()) (own ? own_bytes_ : held_bytes_) += size_of(item);
       any = any || !held.group.items().empty();
-      const bool ended = own ? held.sealed : now > held.heard + 2 * settings_.group_for;
+      const bool ended = own ? held.sealed : now > held.heard + 2 * settings_.group_lifetime;
       if (!ended || !held.group.items().empty()) {
         ++at;
         continue;
@@ -496,11 +503,12 @@
   judge_tickets(now);
 }
 
-std::vector<Copies::ToSend> Copies::take_frames() {
-  std::vector<ToSend> all;
+std::vector<Copies::OutgoingFrame> Copies::take_frames() {
+  std::vector<OutgoingFrame> all;
   for (auto& [name, entry] : words_) {
-    const bool asks = std::ranges::any_of(
-        entry.second, [](const Word& w) { return w.say.kind == Kind::append || w.say.kind == Kind::ask; });
+    const bool asks = std::ranges::any_of(entry.second, [](const Envelope& w) {
+      return w.message.kind == GroupMessageKind::append || w.message.kind == GroupMessageKind::vote_request;
+    });
     all.push_back({entry.first, encode(Frame{std::move(entry.second), no_room_}), asks});
   }
   words_.clear();
@@ -517,8 +525,8 @@
   std::vector<GroupState> all;
   for (const auto& [id, held] : groups_) {
     const Group& g = held.group;
-    all.push_back({id, held.head, g.shape().self, g.durable().owner, g.epoch(), g.live_count(), g.owns(),
-                   g.leads(now), held.sealed});
+    all.push_back({id, held.head, g.shape().index, g.durable().owner, g.epoch(), g.live_count(), g.is_owner(),
+                   g.holds_lease(now), held.sealed});
   }
   return all;
 }
--- a/copies/copies.h
+++ b/copies/copies.h
@@ -26,107 +26,111 @@
 
 #include "copies/clock_offset.h"
 #include "copies/codec.h"
-#include "copies/ends.h"
+#include "copies/expiry_queue.h"
 
 namespace valedrum::copies {
 
-enum class Shortage : std::uint8_t {
+enum class ShortagePolicy : std::uint8_t {
   refuse,  // what too few others hold is not taken
   accept,  // it is, and counted
 };
 
 struct CopiesSettings : Settings {
-  unsigned copies = 1;      // 1 or 2
-  unsigned spread = 4;      // groups at once
-  bool other_zone = false;  // the first copy is in another zone
-  Shortage on_shortage = Shortage::refuse;
-  Duration answer_within = std::chrono::milliseconds(200);  // for a client that waits: less than its patience
-  Duration avoid_for = std::chrono::seconds(5);             // one that did not answer or had no room
-  Duration group_for = std::chrono::minutes(5);             // then another one is opened in its place
-  std::size_t budget = 1 << 20;  // bytes of bodies held for others; as many of its own
+  unsigned copies = 1;       // 1 or 2
+  unsigned group_count = 4;  // groups at once
+  bool other_zone = false;   // the first copy is in another zone
+  ShortagePolicy on_shortage = ShortagePolicy::refuse;
+  Duration answer_timeout =
+      std::chrono::milliseconds(200);                   // for a client that waits: less than its patience
+  Duration avoidance_period = std::chrono::seconds(5);  // one that did not answer or had no room
+  Duration group_lifetime = std::chrono::minutes(5);    // then another one is opened in its place
+  std::size_t body_budget = 1 << 20;                    // bytes of bodies held for others; as many of its own
 };
 // Throws std::invalid_argument whose text begins with the field at fault.
-void check(const CopiesSettings& settings);
+void validate(const CopiesSettings& settings);
 
 // Another relay of the view that may hold copies.
 struct Candidate {
-  Seat seat;
+  MemberIdentity identity;
   std::string machine, zone;
-  unsigned room = 8;  // eighths
+  unsigned free_eighths = 8;  // eighths
 };
 
-struct Self {
-  Seat seat;
+struct LocalMember {
+  MemberIdentity identity;
   std::string machine, zone;
 };
 
 // What the relay has to do, in order.
-struct Done {  // what a ticket waited for
+struct TicketCompleted {  // what a ticket waited for
   std::uint64_t ticket = 0;
-  bool good = false;
+  bool succeeded = false;
 };
-struct Inherited {  // to be brought to its end here; without a body it can only be given up
+struct OwnershipGained {  // to be brought to its end here; without a body it can only be given up
   std::string id;
   Item item;
-  std::vector<bool> astray;  // by attempt: its call may be out still, for as long as its partner likes
+  std::vector<bool> orphaned;  // by attempt: its call may be out still, for as long as its partner likes
 };
-struct Lost {  // another may act on it now: nothing more is sent, answered or told for it here
+struct OwnershipLost {  // another may act on it now: nothing more is sent, answered or told for it here
   std::string id;
 };
-struct Ended {  // elsewhere
+struct CompletedElsewhere {  // elsewhere
   std::string id;
 };
 struct Expired {  // nobody who could be heard has ended it: its notice is due
   std::string id;
-  Owed notice;
+  PendingNotice notice;
 };
-struct Noted {  // for the log
+struct LogLine {  // for the log
   std::string line;
 };
-using CopyEvent = std::variant<Done, Inherited, Lost, Ended, Expired, Noted>;
+using CopyEvent =
+    std::variant<TicketCompleted, OwnershipGained, OwnershipLost, CompletedElsewhere, Expired, LogLine>;
 
 struct CopyCounters {
-  std::uint64_t placed = 0, short_of = 0, unplaced = 0;  // messages: to groups; taken with fewer; with none
-  std::uint64_t refused = 0;                             // for want of holders
-  std::uint64_t groups = 0, won = 0, lost = 0;           // opened; ownerships
-  std::uint64_t inherited = 0, expired = 0;              // messages
-  std::uint64_t late = 0, no_room = 0, foreign = 0;  // tickets that ran out; bodies not taken; words dropped
+  std::uint64_t placed = 0, under_replicated = 0,
+                local_only = 0;  // messages: to groups; taken with fewer; with none
+  std::uint64_t refused = 0;     // for want of holders
+  std::uint64_t groups_opened = 0, ownerships_gained = 0, ownerships_lost = 0;  // opened; ownerships
+  std::uint64_t taken_over = 0, expired = 0;                                    // messages
+  std::uint64_t ticket_timeouts = 0, bodies_rejected = 0,
+                foreign_messages = 0;  // tickets that ran out; bodies not taken; words dropped
 };
 
 class Copies {
  public:
   // With what an earlier process of the same folder kept. Throws std::invalid_argument.
-  Copies(CopiesSettings settings, Self self, Stored stored, std::uint64_t seed, Time now);
+  Copies(CopiesSettings settings, LocalMember self, StoredState stored, std::uint64_t seed, Time now);
 
   // ------------------------------------------------------------------ the view
-  void candidates(Time now, std::vector<Candidate> candidates);
-  std::uint8_t room() const;  // eighths of the budget that are free
+  void set_candidates(Time now, std::vector<Candidate> candidates);
+  std::uint8_t free_eighths() const;  // eighths of the budget that are free
 
   // ------------------------------------------------------------------ what the relay holds
-  enum class Taken : std::uint8_t { placed, alone, refused };
-  Taken take(Time now, const std::string& id, Item item);
+  enum class Placement : std::uint8_t { placed, local_only, refused };
+  Placement add(Time now, const std::string& id, Item item);
   // One that this relay holds with nobody else, as it found it in its journal. Until over().
-  void keep_alone(const std::string& id) { alone_.insert(id); }
-  void attempt(Time now, const std::string& id, Attempt attempt);
-  void fate(Time now, const std::string& id, std::size_t attempt, Fate fate);
-  void owe(Time now, const std::string& id, Owed owed);
-  void over(Time now, const std::string& id);
-
-  enum class Need : std::uint8_t {
-    promise,  // the bodies are with as many as the settings ask for
-    act,      // the newest state is known to another one, and this one leads; of a first attempt also what a
-              // promise needs
-    tell,     // as act, for a notice, which is owed: it waits no longer than a holder would
+  void add_local_only(const std::string& id) { alone_.insert(id); }
+  void add_attempt(Time now, const std::string& id, Attempt attempt);
+  void set_attempt_state(Time now, const std::string& id, std::size_t attempt, AttemptState state);
+  void set_pending_notice(Time now, const std::string& id, PendingNotice notice);
+  void complete(Time now, const std::string& id);
+
+  enum class Requirement : std::uint8_t {
+    acceptance,  // the bodies are with as many as the settings ask for
+    call,    // the newest state is known to another one, and this one leads; of a first attempt also what a
+             // promise needs
+    notice,  // as act, for a notice, which is owed: it waits no longer than a holder would
   };
   // A Done event follows, not before the caller has returned to take_events().
-  std::uint64_t await(Time now, std::vector<std::string> ids, Need need);
+  std::uint64_t wait_for(Time now, std::vector<std::string> ids, Requirement requirement);
   // Whether the last attempt of this message may leave now. Of one that is forgotten, for its time is long
   // over, none may: a process that was stopped may wake up with it.
   bool may_call(Time now, const std::string& id) const;
   // What is known of it here, as owner or for somebody, until some time after its deadline. None: nothing.
-  const Item* look(const std::string& id) const;
+  const Item* find(const std::string& id) const;
   // Whether this relay may act on it: also where nobody else knows of it.
-  bool is_own(const std::string& id) const;
+  bool is_owner(const std::string& id) const;
 
   // ------------------------------------------------------------------ what others say
   void receive(Time now, const std::string& from, const Frame& frame);
@@ -138,14 +142,14 @@
   // At the end of a turn: what has changed goes out.
   void flush(Time now);
 
-  struct ToSend {
-    Seat to;
+  struct OutgoingFrame {
+    MemberIdentity to;
     std::string frame;
-    bool asks = false;  // an answer is due
+    bool expects_answer = false;  // an answer is due
   };
   // First the records have to be on disk.
   std::string take_records(Duration wall);
-  std::vector<ToSend> take_frames();
+  std::vector<OutgoingFrame> take_frames();
   std::vector<CopyEvent> take_events() { return std::exchange(events_, {}); }
   // All that matters, for a file that is written anew.
   std::string snapshot(Duration wall, std::uint64_t boot = 0) const;
@@ -153,41 +157,41 @@
   const CopyCounters& counters() const { return counters_; }
   struct GroupState {
     GroupId id;
-    Head head;
-    Place self = 0, owner = 0;
+    GroupConfig config;
+    MemberIndex self = 0, owner = 0;
     std::uint64_t epoch = 0;
-    std::size_t live = 0;
-    bool owns = false, leads = false, sealed = false;
+    std::size_t live_count = 0;
+    bool is_owner = false, holds_lease = false, sealed = false;
   };
   std::vector<GroupState> groups(Time now) const;
   std::optional<GroupId> group_of(const std::string& id) const;
-  std::size_t bytes_held() const { return held_bytes_; }
-  std::uint64_t life() const { return self_.seat.life; }
+  std::size_t held_bytes() const { return held_bytes_; }
+  std::uint64_t storage_id() const { return self_.identity.storage_id; }
 
  private:
   struct Held {
-    Head head;
+    GroupConfig head;
     Group group;
     Time opened{}, heard{};
-    bool sealed = false;                  // takes no more messages
-    std::array<bool, kVoters> knows{};    // has answered in it
-    std::array<bool, kVoters> useless{};  // does not know it any more
-    Ends ends{};
+    bool sealed = false;                     // takes no more messages
+    std::array<bool, kGroupSize> knows{};    // has answered in it
+    std::array<bool, kGroupSize> useless{};  // does not know it any more
+    ExpiryQueue ends{};
     Time next_end() const { return ends.next(group.owner_silent_from()); }
   };
   using Groups = std::map<GroupId, Held>;
   struct Ticket {
     std::uint64_t number = 0;
     std::vector<std::string> ids;
-    Need need = Need::act;
+    Requirement need = Requirement::call;
     Time until{};
   };
 
   GroupId new_group_id();
   Groups::iterator open(Time now, unsigned shard);
   std::vector<const Candidate*> choose(Time now, unsigned shard) const;
-  Held* find(const std::string& id);
-  const Held* find(const std::string& id) const;
+  Held* find_group(const std::string& id);
+  const Held* find_group(const std::string& id) const;
   template <typename Change>
   void change(Time now, const std::string& id, Change&& how);
   void settle(Groups::iterator at);  // after anything that a group has heard or done
@@ -199,12 +203,12 @@
   void late(Time now, const Ticket& ticket);
   void avoid(Time now, const std::string& name);
   bool avoided(Time now, const std::string& name) const;
-  void receive(Time now, const std::string& from, const Word& word);
-  Place place_of(const Head& head, std::string_view name) const;
+  void receive(Time now, const std::string& from, const Envelope& word);
+  MemberIndex place_of(const GroupConfig& head, std::string_view name) const;
   std::uint64_t shard_of(const std::string& id) const;
 
   CopiesSettings settings_;
-  Self self_;
+  LocalMember self_;
   std::mt19937_64 engine_;
   std::vector<Candidate> candidates_;
   std::map<std::string, Time, std::less<>> avoided_;
@@ -219,7 +223,7 @@
   std::size_t held_bytes_ = 0, own_bytes_ = 0;
   bool no_room_ = false;  // said with the frames of this turn
 
-  std::map<std::string, std::pair<Seat, std::vector<Word>>> words_;  // to be sent, by name
+  std::map<std::string, std::pair<MemberIdentity, std::vector<Envelope>>> words_;  // to be sent, by name
   struct ToRecord {
     GroupId group;
     enum class What : std::uint8_t { group, promise, item, drop } what{};
--- a/copies/ends.h
+++ b/copies/expiry_queue.h
@@ -24,14 +24,14 @@
 
 namespace valedrum::copies {
 
-inline constexpr Duration kNoticeOwed = std::chrono::milliseconds(300);
-inline constexpr Duration kLongestHoldUp = std::chrono::milliseconds(150);
-inline constexpr Duration kNoticeTakes = std::chrono::milliseconds(100);
+inline constexpr Duration kNoticeDeadline = std::chrono::milliseconds(300);
+inline constexpr Duration kMaxStall = std::chrono::milliseconds(150);
+inline constexpr Duration kNoticeDeliveryTime = std::chrono::milliseconds(100);
 inline constexpr Duration kClockError = std::chrono::milliseconds(20);
-inline constexpr Duration kLeftToOwner = kNoticeOwed - kLongestHoldUp - kNoticeTakes - kClockError;
+inline constexpr Duration kOwnerGracePeriod = kNoticeDeadline - kMaxStall - kNoticeDeliveryTime - kClockError;
 
 // The messages of one group that have no end yet, by their time. Each comes out once.
-class Ends {
+class ExpiryQueue {
  public:
   // As it is by now; none: it is forgotten.
   void update(const std::string& id, const Item* item);
--- a/copies/group.h
+++ b/copies/group.h
@@ -28,40 +28,40 @@
 
 namespace valedrum::copies {
 
-enum class Kind : std::uint8_t {
+enum class GroupMessageKind : std::uint8_t {
   append,  // of the owner: what has changed; also asks for the lease again
   ack,
-  ask,     // of a candidate: vote for me
-  vote,    // with all that the voter knows
-  refuse,  // not taken, or no vote: with the epoch that is promised by now
+  vote_request,  // of a candidate: vote for me
+  vote,          // with all that the voter knows
+  reject,        // not taken, or no vote: with the epoch that is promised by now
 };
 
-struct Say {
-  Kind kind = Kind::append;
-  Place from = 0;
+struct GroupMessage {
+  GroupMessageKind kind = GroupMessageKind::append;
+  MemberIndex sender = 0;
   std::uint64_t epoch = 0;
-  Time at{};    // the sender's clock: all times in it are by that one
-  Time echo{};  // of an acknowledgement: `at` of what it answers
-  Items items;  // of an acknowledgement: their stamps alone
+  Time sent_at{};         // the sender's clock: all times in it are by that one
+  Time echoed_sent_at{};  // of an acknowledgement: `at` of what it answers
+  Items items;            // of an acknowledgement: their stamps alone
 };
 
 class Group {
  public:
   // What outlasts the process, where the folder does.
-  struct Durable {
-    std::uint64_t promised = 1;  // epoch: nothing of an earlier one is taken
-    Place owner = 0;             // that it was promised to
+  struct DurableState {
+    std::uint64_t promised_epoch = 1;  // epoch: nothing of an earlier one is taken
+    MemberIndex owner = 0;             // that it was promised to
     Items items;
   };
   enum class Start : std::uint8_t { opened, restarted };
 
   // `opened`: by the origin's first word, or by the origin itself.
-  Group(const Settings& settings, Shape shape, Durable durable, Start start, Time now);
+  Group(const Settings& settings, Role shape, DurableState durable, Start start, Time now);
 
   // ------------------------------------------------------------------ as the owner
-  bool owns() const { return owns_; }
+  bool is_owner() const { return owns_; }
   // Whether it may act now.
-  bool leads(Time now) const;
+  bool holds_lease(Time now) const;
   // Whether the last attempt of this message may leave now: it leads, and its intent is held elsewhere.
   bool may_call(std::string_view id, Time now) const;
   // A message that is new, or of which something is new; the stamp is put here. Goes out with the next
@@ -69,51 +69,51 @@
   void put(std::string id, Item item);
   const Item* find(std::string_view id) const;
   // How many others have the newest state of it; `bodies`: of those that hold the message itself.
-  unsigned held(std::string_view id, bool bodies) const;
-  bool has_newest(Place other, std::string_view id) const;
+  unsigned replica_count(std::string_view id, bool bodies) const;
+  bool is_up_to_date(MemberIndex other, std::string_view id) const;
 
   // ------------------------------------------------------------------ events
   // `shift`: what the sender's clock shows is so much earlier on this one. Not how long this word took: it
   // may have lain for seconds before a process that was stopped.
-  void receive(Time now, const Say& say, Duration shift);
+  void receive(Time now, const GroupMessage& say, Duration shift);
   void wake(Time now);
   // What has changed since goes to the others; with nothing to send, nothing.
   void flush(Time now);
   // What `other` has not acknowledged may be lost with its connection. Its clock may be another one from now
   // on.
-  void reconnected(Place other);
+  void reconnected(MemberIndex other);
   Time next_wake() const;
 
-  std::vector<std::pair<Place, Say>> take() { return std::exchange(out_, {}); }
+  std::vector<std::pair<MemberIndex, GroupMessage>> take_messages() { return std::exchange(out_, {}); }
 
   // To be on disk before anything that was taken after it is sent: ids whose items have changed, and whether
   // the promise has.
-  struct Changed {
+  struct Changes {
     bool promise = false;
     std::vector<std::string> items;
   };
-  Changed take_changed() { return std::exchange(changed_, {}); }
+  Changes take_changes() { return std::exchange(changed_, {}); }
 
   // What became of the ownership since: at most one of them holds.
-  enum class Turn : std::uint8_t { none, won, lost };
-  Turn take_turn() { return std::exchange(turn_, Turn::none); }
+  enum class OwnershipChange : std::uint8_t { none, gained, lost };
+  OwnershipChange take_ownership_change() { return std::exchange(turn_, OwnershipChange::none); }
   // Whether a call of this attempt may be out, with nobody here who could end it: of another member that may
   // be stopped. It is out for as long as its partner likes.
-  bool astray(const Attempt& attempt) const;
+  bool is_orphaned(const Attempt& attempt) const;
 
   // Forgets what had its time until `keep` before `now`: whoever held it has seen to its end.
   void prune(Time now, Duration keep);
 
   const Items& items() const { return durable_.items; }
-  const Durable& durable() const { return durable_; }
-  const Shape& shape() const { return shape_; }
+  const DurableState& durable() const { return durable_; }
+  const Role& shape() const { return shape_; }
   bool live() const { return live_ > 0; }
   std::size_t live_count() const { return live_; }
   // When the promise to the owner ends; of the owner: when its lease does.
-  Time bound_until() const { return bound_until_; }
+  Time lease_expires_at() const { return bound_until_; }
   // From when on an owner that is heard no more counts as silent: it has something to say each `renew`.
   Time owner_silent_from() const;
-  std::uint64_t epoch() const { return durable_.promised; }
+  std::uint64_t epoch() const { return durable_.promised_epoch; }
 
   // For the model check: everything that a later step can depend on, by the clock's distance from now.
   void describe(Time now, std::string& out) const;
@@ -122,28 +122,28 @@
   struct Peer {
     std::optional<Time> lease_from;  // when that was sent which it has acknowledged
     Time sent_at{};
-    std::set<std::string, std::less<>> unsent;        // ids
-    std::map<std::string, Stamp, std::less<>> acked;  // the newest state that it has said to have
+    std::set<std::string, std::less<>> unsent;              // ids
+    std::map<std::string, ItemVersion, std::less<>> acked;  // the newest state that it has said to have
   };
 
-  void append(Time now, Place to);
+  void append(Time now, MemberIndex to);
   void win(Time now);
-  void on_append(Time now, const Say& say, Duration shift);
-  void on_ack(Time now, const Say& say);
-  void on_ask(Time now, const Say& say);
-  void on_vote(Time now, const Say& say, Duration shift);
-  void on_refuse(const Say& say);
-  void merge(const Say& say, Duration shift);
-  void correct(Place from, Duration shift);
+  void on_append(Time now, const GroupMessage& say, Duration shift);
+  void on_ack(Time now, const GroupMessage& say);
+  void on_ask(Time now, const GroupMessage& say);
+  void on_vote(Time now, const GroupMessage& say, Duration shift);
+  void on_refuse(const GroupMessage& say);
+  void merge(const GroupMessage& say, Duration shift);
+  void correct(MemberIndex from, Duration shift);
   void store(const std::string& id, Item item);
   void step_down();
-  void promise(std::uint64_t epoch, Place owner);
-  bool broken(Without part) const { return settings_.without == part; }
-  Say say(Time now, Kind kind) const;
+  void promise(std::uint64_t epoch, MemberIndex owner);
+  bool broken(DisabledSafeguard part) const { return settings_.disabled_safeguard == part; }
+  GroupMessage say(Time now, GroupMessageKind kind) const;
 
   Settings settings_;
-  Shape shape_;
-  Durable durable_;
+  Role shape_;
+  DurableState durable_;
   bool owns_ = false;
   std::uint64_t revision_ = 0;
   std::uint64_t seen_ = 0;   // highest epoch heard of
@@ -152,15 +152,15 @@
   Time ask_at_{};            // not before
   std::size_t live_ = 0;
   struct Told {
-    Place by = 0;
+    MemberIndex by = 0;
     Time until{};  // on that one's clock
   };
-  std::map<std::string, Told, std::less<>> told_;        // of what is held for others
-  std::array<std::optional<Duration>, kVoters> shifts_;  // that times were translated with
-  std::array<Peer, kVoters> peers_;
-  std::vector<std::pair<Place, Say>> out_;
-  Changed changed_;
-  Turn turn_ = Turn::none;
+  std::map<std::string, Told, std::less<>> told_;           // of what is held for others
+  std::array<std::optional<Duration>, kGroupSize> shifts_;  // that times were translated with
+  std::array<Peer, kGroupSize> peers_;
+  std::vector<std::pair<MemberIndex, GroupMessage>> out_;
+  Changes changed_;
+  OwnershipChange turn_ = OwnershipChange::none;
 };
 
 }  // namespace valedrum::copies
--- a/lab/copies_world.cpp
+++ b/lab/copies_world.cpp
@@ -15,9 +15,9 @@
 namespace valedrum::lab {
 namespace {
 
+using copies::AttemptState;
 using copies::Copies;
 using copies::Duration;
-using copies::Fate;
 using copies::Time;
 using namespace std::chrono_literals;
 
@@ -117,9 +117,9 @@
     Node& node = nodes_[n];
     ++node.start;
     node.lost = false;
-    copies::Self self;
-    self.seat.name = name(n);
-    self.seat.address = {n + 1, 1};
+    copies::LocalMember self;
+    self.identity.name = name(n);
+    self.identity.address = {n + 1, 1};
     self.machine = labelled('m', n);
     self.zone = labelled('z', n % 3);
     node.copies.emplace(day_.settings, self, copies::read_stored(node.file, {}),
@@ -162,10 +162,10 @@
   }
 
   void count(const Copies& c) {
-    result_.won += c.counters().won;
-    result_.inherited += c.counters().inherited;
+    result_.won += c.counters().ownerships_gained;
+    result_.inherited += c.counters().taken_over;
     result_.expired += c.counters().expired;
-    result_.groups += c.counters().groups;
+    result_.groups += c.counters().groups_opened;
   }
 
   void seen_after(std::uint32_t n) {
@@ -178,15 +178,15 @@
     for (std::uint32_t o = 0; o < nodes_.size(); ++o) {
       if (o == n || !runs(o) || nodes_[o].stalled || cut(n, o) || cut(o, n)) continue;
       copies::Candidate& c = all.emplace_back();
-      c.seat.name = name(o);
-      c.seat.life = nodes_[o].copies->life();
-      c.seat.address = {o + 1, 1};
+      c.identity.name = name(o);
+      c.identity.storage_id = nodes_[o].copies->storage_id();
+      c.identity.address = {o + 1, 1};
       c.machine = labelled('m', o);
       c.zone = labelled('z', o % 3);
-      c.room = nodes_[o].copies->room();
+      c.free_eighths = nodes_[o].copies->free_eighths();
     }
     run(n, [this, n, all = std::move(all)] {
-      nodes_[n].copies->candidates(now_, all);
+      nodes_[n].copies->set_candidates(now_, all);
       turn(n);
     });
   }
@@ -381,22 +381,22 @@
     m.taken = now_;
     m.until = now_ + span(random_.between({2, 15}));
     copies::Item item;
-    item.until = m.until;
+    item.deadline = m.until;
     item.payload = std::make_shared<const copies::Payload>(
         copies::Payload{id, "c", "", std::string(200, 'x'), 1, m.once});
     Node& node = nodes_[n];
-    if (node.copies->take(now_, id, std::move(item)) != Copies::Taken::placed) {
+    if (node.copies->add(now_, id, std::move(item)) != Copies::Placement::placed) {
       ++result_.refused;
       m.over = true;
       return;
     }
     for (const auto& g : node.copies->groups(now_)) {
       if (g.id == node.copies->group_of(id)) {
-        for (const copies::Seat& s : g.head.seats) m.knowers.push_back(number_of(s.name));
+        for (const copies::MemberIdentity& s : g.config.members) m.knowers.push_back(number_of(s.name));
       }
     }
     node.held[id] = {};
-    node.promises[node.copies->await(now_, {id}, Copies::Need::promise)] = id;
+    node.promises[node.copies->wait_for(now_, {id}, Copies::Requirement::acceptance)] = id;
     note(id, n, "is handed in");
     // Half of them are called for at once, the others wait for their partner.
     plan(n, id, random_.chance(0.5) ? Duration{} : span(-std::log(1 - random_.unit()) * 2));
@@ -420,8 +420,8 @@
     if (found->second.attempts >= kMostAttempts) return give_up(n, id, false);
     ++found->second.attempts;
     found->second.pending = true;
-    node.copies->attempt(now_, id, {"host", "zone"});
-    node.calls[node.copies->await(now_, {id}, Copies::Need::act)] = id;
+    node.copies->add_attempt(now_, id, {"host", "zone"});
+    node.calls[node.copies->wait_for(now_, {id}, Copies::Requirement::call)] = id;
   }
 
   void call(std::uint32_t n, const std::string& id) {
@@ -452,7 +452,8 @@
     const unsigned number = m.calls;
     at(now_ + takes,
        [this, n, id, away, fails, number, start = node.start] { served(n, id, away, fails, number, start); });
-    later(n, kCallTimeout, [this, n, id, number] { outcome(n, id, Fate::may_have_run, false, number); });
+    later(n, kCallTimeout,
+          [this, n, id, number] { outcome(n, id, AttemptState::may_have_run, false, number); });
   }
 
   // The partner's answer ends the call, and reaches the relay if that runs and has not closed the connection.
@@ -467,11 +468,11 @@
     if (!heard || nodes_[n].start != start) return;
     if (!away && !fails && !m.over) delivered(id);
     run(n, [this, n, id, away, fails, number] {
-      outcome(n, id, away ? Fate::never_ran : Fate::may_have_run, !away && !fails, number);
+      outcome(n, id, away ? AttemptState::never_ran : AttemptState::may_have_run, !away && !fails, number);
     });
   }
 
-  void outcome(std::uint32_t n, const std::string& id, Fate fate, bool good, unsigned number) {
+  void outcome(std::uint32_t n, const std::string& id, AttemptState fate, bool good, unsigned number) {
     Node& node = nodes_[n];
     Message& m = messages_.at(id);
     // Its time is up, and the connection closed.
@@ -481,10 +482,10 @@
     found->second.call = 0;
     if (good) {
       node.held.erase(found);
-      node.copies->over(now_, id);
+      node.copies->complete(now_, id);
     } else {
-      node.copies->fate(now_, id, found->second.attempts - 1, fate);
-      if (m.once && fate == Fate::may_have_run) {
+      node.copies->set_attempt_state(now_, id, found->second.attempts - 1, fate);
+      if (m.once && fate == AttemptState::may_have_run) {
         give_up(n, id, false);
       } else {
         plan(n, id, span(0.1 + 0.5 * random_.unit()));
@@ -494,7 +495,8 @@
   }
 
   void not_sent(std::uint32_t n, const std::string& id) {
-    nodes_[n].copies->fate(now_, id, nodes_[n].held.at(id).attempts - 1, Fate::never_ran);
+    nodes_[n].copies->set_attempt_state(now_, id, nodes_[n].held.at(id).attempts - 1,
+                                        AttemptState::never_ran);
     plan(n, id, span(0.1 + 0.3 * random_.unit()));
   }
 
@@ -508,9 +510,9 @@
   void give_up(std::uint32_t n, const std::string& id, bool back) {
     Node& node = nodes_[n];
     node.held.erase(id);
-    node.copies->owe(now_, id, {back, {}});
+    node.copies->set_pending_notice(now_, id, {back, {}});
     notice(n, id, back);
-    node.copies->over(now_, id);
+    node.copies->complete(now_, id);
   }
 
   // The platform's agent takes it at once.
@@ -541,7 +543,7 @@
     const Message& m = messages_.at(id);
     if (!m.promised || m.over) return;
     const bool somebody = std::ranges::any_of(m.knowers, [&](std::uint32_t n) {
-      return runs(n) && !nodes_[n].stalled && nodes_[n].copies->look(id);
+      return runs(n) && !nodes_[n].stalled && nodes_[n].copies->find(id);
     });
     if (somebody) {
       broke(CopyRule::lost, id);
@@ -558,10 +560,10 @@
 
   void happened(std::uint32_t n, const copies::CopyEvent& event) {
     Node& node = nodes_[n];
-    if (const auto* done = std::get_if<copies::Done>(&event)) {
+    if (const auto* done = std::get_if<copies::TicketCompleted>(&event)) {
       if (const auto p = node.promises.extract(done->ticket)) {
         Message& m = messages_.at(p.mapped());
-        if (done->good) {
+        if (done->succeeded) {
           if (!std::exchange(m.promised, true)) ++result_.promised;
           result_.promise_ms.push_back(seconds(now_ - m.taken) * 1000);
           note(p.mapped(), n, "promises it");
@@ -573,19 +575,19 @@
           m.over = true;
           ++result_.refused;
           node.held.erase(p.mapped());
-          node.copies->over(now_, p.mapped());
+          node.copies->complete(now_, p.mapped());
         }
       } else if (const auto c = node.calls.extract(done->ticket)) {
-        if (done->good) {
+        if (done->succeeded) {
           call(n, c.mapped());
         } else if (const auto found = node.held.find(c.mapped()); found != node.held.end()) {
           found->second.pending = false;
           not_sent(n, c.mapped());
         }
       }
-    } else if (const auto* inherited = std::get_if<copies::Inherited>(&event)) {
+    } else if (const auto* inherited = std::get_if<copies::OwnershipGained>(&event)) {
       inherit(n, *inherited);
-    } else if (const auto* lost = std::get_if<copies::Lost>(&event)) {
+    } else if (const auto* lost = std::get_if<copies::OwnershipLost>(&event)) {
       node.held.erase(lost->id);
     } else if (const auto* expired = std::get_if<copies::Expired>(&event)) {
       if (!node.held.contains(expired->id)) notice(n, expired->id, expired->notice.handed_back);
@@ -594,23 +596,24 @@
 
   // As the module decides: what may have run and may not be repeated fails, what may be out goes back to its
   // client.
-  void inherit(std::uint32_t n, const copies::Inherited& what) {
+  void inherit(std::uint32_t n, const copies::OwnershipGained& what) {
     Node& node = nodes_[n];
     // A call of its own is out from before it lost the message: first it ends.
     if (messages_.at(what.id).out.contains(n)) {
       later(n, kOwnLook, [this, n, what] {
-        if (!nodes_[n].copies->is_own(what.id) || nodes_[n].held.contains(what.id)) return;
+        if (!nodes_[n].copies->is_owner(what.id) || nodes_[n].held.contains(what.id)) return;
         inherit(n, what);
         turn(n);
       });
       return;
     }
     note(what.id, n, "inherits it");
-    const auto ran = [](const copies::Attempt& a) { return a.fate != Fate::never_ran; };
-    const bool astray = std::ranges::find(what.astray, true) != what.astray.end();
+    const auto ran = [](const copies::Attempt& a) { return a.state != AttemptState::never_ran; };
+    const bool astray = std::ranges::find(what.orphaned, true) != what.orphaned.end();
     Held& held = node.held[what.id];
     held = {0, false, static_cast<std::uint32_t>(what.item.attempts.size())};
-    if (!what.item.payload || (what.item.payload->once && std::ranges::any_of(what.item.attempts, ran))) {
+    if (!what.item.payload ||
+        (what.item.payload->at_most_once && std::ranges::any_of(what.item.attempts, ran))) {
       give_up(n, what.id, false);
     } else if (astray) {
       give_up(n, what.id, true);
@@ -626,7 +629,7 @@
     for (const Node& n : nodes_) {
       if (!n.copies) continue;
       for (const auto& g : n.copies->groups(now_)) {
-        if (g.leads && ++leads[g.id] > 1) broke(CopyRule::two_leaders, "");
+        if (g.holds_lease && ++leads[g.id] > 1) broke(CopyRule::two_leaders, "");
       }
     }
   }
@@ -686,7 +689,7 @@
       std::lround(std::exp(random.between({std::log(4.0), std::log(static_cast<double>(most))}))));
   day.settings.copies = 1 + random.below(2);
   day.settings.other_zone = random.chance(0.3);
-  day.settings.spread = 1 + random.below(4);
+  day.settings.group_count = 1 + random.below(4);
   day.rate = random.between({0.5, 4});
   day.seconds = 25;
   for (std::uint32_t n = 1 + random.below(4); n > 0; --n) {
@@ -696,7 +699,7 @@
     f.part = random.chance(0.5) ? 0 : random.between({0, 0.5});
     f.lasts = std::exp(random.between({std::log(0.1), std::log(20.0)}));
     f.size = f.kind == CopyFault::breaks ? random.between({0.01, 0.2}) : random.between({0.01, 0.5});
-    if (f.kind == CopyFault::full) day.settings.budget = 64U << 10;
+    if (f.kind == CopyFault::full) day.settings.body_budget = 64U << 10;
     day.faults.push_back(f);
   }
   return day;
--- a/lab/ownership.cpp
+++ b/lab/ownership.cpp
@@ -19,10 +19,10 @@
 
 using copies::Duration;
 using copies::Group;
-using copies::Kind;
-using copies::kVoters;
-using copies::Place;
-using copies::Say;
+using copies::GroupMessage;
+using copies::GroupMessageKind;
+using copies::kGroupSize;
+using copies::MemberIndex;
 using copies::Time;
 using namespace std::chrono_literals;
 
@@ -33,34 +33,34 @@
 copies::Settings settings(const OwnershipBounds& b) {
   copies::Settings s;
   s.lease = kTick;
-  s.margin = kTick / 2;
-  s.renew = kTick;
-  s.again = kTick / 5;
-  s.without = b.without;
+  s.lease_margin = kTick / 2;
+  s.renewal_interval = kTick;
+  s.vote_retry_interval = kTick / 5;
+  s.disabled_safeguard = b.without;
   return s;
 }
 
 struct Frame {
-  Place to = 0;
-  Say say;
+  MemberIndex to = 0;
+  GroupMessage say;
 };
 
 struct Node {
-  std::optional<Group> group;                  // none: its process does not run
-  bool lost = false;                           // its folder is gone
-  std::shared_ptr<const Group::Durable> disk;  // while it does not run
+  std::optional<Group> group;                       // none: its process does not run
+  bool lost = false;                                // its folder is gone
+  std::shared_ptr<const Group::DurableState> disk;  // while it does not run
   unsigned called =
       0;  // attempts up to this number have been decided on by this process: a call left, or none will
   bool inherited = false;  // it has won, and not looked at what it won yet
 };
 
 struct Call {  // it ends as its process sees it end, or with that; never while it is stopped
-  Place by = 0;
+  MemberIndex by = 0;
 };
 
 struct World {
   Time now{};
-  std::array<Node, kVoters> nodes;
+  std::array<Node, kGroupSize> nodes;
   std::vector<std::shared_ptr<const Frame>> frames;  // said, and it may still arrive, however often
   std::vector<Call> out;
   unsigned calls = 0, ran = 0;  // attempts whose calls left, and of them those that were not turned away
@@ -130,15 +130,15 @@
   World first() {
     World w;
     w.now = Time(100s);
-    for (Place p = 0; p < kVoters; ++p) {
-      w.nodes[p].group.emplace(settings_, copies::Shape{p, bounds_.copies}, Group::Durable{},
+    for (MemberIndex p = 0; p < kGroupSize; ++p) {
+      w.nodes[p].group.emplace(settings_, copies::Role{p, bounds_.copies}, Group::DurableState{},
                                Group::Start::opened, w.now);
     }
     copies::Item item;
     item.payload =
         std::make_shared<const copies::Payload>(copies::Payload{kId, "class", "", "body", 1, bounds_.once});
-    item.until = w.now + 3600s;
-    item.attempts.push_back({"host", "zone", w.now, 0, copies::Fate::out});
+    item.deadline = w.now + 3600s;
+    item.attempts.push_back({"host", "zone", w.now, 0, copies::AttemptState::in_flight});
     w.nodes[0].group->put(kId, std::move(item));
     w.nodes[0].group->flush(w.now);
     collect(w, 0);
@@ -146,24 +146,24 @@
   }
 
   // What a node has said is on its way, once its disk has what it knows.
-  void collect(World& w, Place p) {
+  void collect(World& w, MemberIndex p) {
     Node& n = w.nodes[p];
     // Its client has its answer as soon as it may have it.
-    w.told = w.told || (p == 0 && n.group->owns() && n.group->held(kId, true) >= bounds_.copies);
-    (void)n.group->take_changed();
-    for (auto& [to, say] : n.group->take()) {
+    w.told = w.told || (p == 0 && n.group->is_owner() && n.group->replica_count(kId, true) >= bounds_.copies);
+    (void)n.group->take_changes();
+    for (auto& [to, say] : n.group->take_messages()) {
       w.frames.push_back(std::make_shared<const Frame>(Frame{to, std::move(say)}));
     }
-    switch (n.group->take_turn()) {
-      case Group::Turn::won:
+    switch (n.group->take_ownership_change()) {
+      case Group::OwnershipChange::gained:
         n.inherited = true;
         w.taken_over = w.taken_over || p != 0;
         ++result_.takeovers;
         break;
-      case Group::Turn::lost:
+      case Group::OwnershipChange::lost:
         n.inherited = false;
         break;
-      case Group::Turn::none:
+      case Group::OwnershipChange::none:
         break;
     }
   }
@@ -194,18 +194,18 @@
     return out;
   }
 
-  static void describe(const Group::Durable& d, std::string& out) {
-    out += static_cast<char>(d.promised);
+  static void describe(const Group::DurableState& d, std::string& out) {
+    out += static_cast<char>(d.promised_epoch);
     out += static_cast<char>(d.owner);
     describe(d.items, out);
   }
 
   static void describe(const copies::Items& items, std::string& out) {
     for (const auto& [id, item] : items) {
-      out += {static_cast<char>(item.stamp.epoch), static_cast<char>(item.stamp.revision),
-              static_cast<char>((item.over ? 1 : 0) + (item.payload ? 2 : 0))};
+      out += {static_cast<char>(item.version.epoch), static_cast<char>(item.version.revision),
+              static_cast<char>((item.completed ? 1 : 0) + (item.payload ? 2 : 0))};
       for (const copies::Attempt& a : item.attempts)
-        out += {static_cast<char>(a.fate), static_cast<char>(a.by)};
+        out += {static_cast<char>(a.state), static_cast<char>(a.sender)};
     }
   }
 
@@ -213,12 +213,13 @@
     const auto age = [&](Time t) {
       return static_cast<char>(std::min<std::int64_t>((now - t) / (kTick / 5), 100));
     };
-    std::string out{static_cast<char>(f.say.kind), static_cast<char>(f.say.from), static_cast<char>(f.to),
+    std::string out{static_cast<char>(f.say.kind), static_cast<char>(f.say.sender), static_cast<char>(f.to),
                     static_cast<char>(f.say.epoch)};
-    if (f.say.kind == Kind::append)
-      out += static_cast<char>(now < f.say.at + settings_.lease ? age(f.say.at) : 100);
-    if (f.say.kind == Kind::ack)
-      out += static_cast<char>(now < f.say.echo + settings_.lease ? age(f.say.echo) : 100);
+    if (f.say.kind == GroupMessageKind::append)
+      out += static_cast<char>(now < f.say.sent_at + settings_.lease ? age(f.say.sent_at) : 100);
+    if (f.say.kind == GroupMessageKind::ack)
+      out +=
+          static_cast<char>(now < f.say.echoed_sent_at + settings_.lease ? age(f.say.echoed_sent_at) : 100);
     describe(f.say.items, out);
     return out;
   }
@@ -227,23 +228,24 @@
   bool matters(const World& w, const Frame& f) const {
     const Node& to = w.nodes[f.to];
     if (to.lost) return false;
-    const Group::Durable* d = to.group ? &to.group->durable() : to.disk.get();
+    const Group::DurableState* d = to.group ? &to.group->durable() : to.disk.get();
     if (!d) return false;
-    const bool owns = to.group && to.group->owns();
+    const bool owns = to.group && to.group->is_owner();
     switch (f.say.kind) {
-      case Kind::append: {
-        const Node& from = w.nodes[f.say.from];
-        const bool stale = f.say.epoch < d->promised && bounds_.without != copies::Without::fence;
-        return !stale || (from.group && from.group->owns() && from.group->epoch() == f.say.epoch);
+      case GroupMessageKind::append: {
+        const Node& from = w.nodes[f.say.sender];
+        const bool stale =
+            f.say.epoch < d->promised_epoch && bounds_.without != copies::DisabledSafeguard::epoch_fence;
+        return !stale || (from.group && from.group->is_owner() && from.group->epoch() == f.say.epoch);
       }
-      case Kind::ack:
-        return owns && d->promised == f.say.epoch;
-      case Kind::ask:
-        return f.say.epoch > d->promised;
-      case Kind::vote:
-        return f.say.epoch > d->promised;
-      case Kind::refuse:
-        return owns && f.say.epoch > d->promised;
+      case GroupMessageKind::ack:
+        return owns && d->promised_epoch == f.say.epoch;
+      case GroupMessageKind::vote_request:
+        return f.say.epoch > d->promised_epoch;
+      case GroupMessageKind::vote:
+        return f.say.epoch > d->promised_epoch;
+      case GroupMessageKind::reject:
+        return owns && f.say.epoch > d->promised_epoch;
     }
     return true;
   }
@@ -253,9 +255,12 @@
   // no lease, and it brings no more than the newer one.
   static void keep_newest(World& w) {
     const auto way = [](const Frame& f) {
-      return std::tuple(f.say.kind, f.say.from, f.to, f.say.kind == Kind::append ? f.say.epoch : 0);
+      return std::tuple(f.say.kind, f.say.sender, f.to,
+                        f.say.kind == GroupMessageKind::append ? f.say.epoch : 0);
+    };
+    const auto rank = [](const Frame& f) {
+      return std::tuple(f.say.epoch, f.say.echoed_sent_at, f.say.sent_at);
     };
-    const auto rank = [](const Frame& f) { return std::tuple(f.say.epoch, f.say.echo, f.say.at); };
     std::vector<std::shared_ptr<const Frame>> kept;
     for (const auto& f : w.frames) {
       const auto same = std::ranges::find_if(kept, [&](const auto& k) { return way(*k) == way(*f); });
@@ -270,16 +275,17 @@
 
   // Acknowledgements add up.
   static std::shared_ptr<const Frame> joined(Frame newer, const Frame& older) {
-    if (newer.say.kind == Kind::ack && newer.say.epoch == older.say.epoch) {
+    if (newer.say.kind == GroupMessageKind::ack && newer.say.epoch == older.say.epoch) {
       for (const auto& [id, item] : older.say.items) {
         copies::Item& own = newer.say.items[id];
-        own.stamp = std::max(own.stamp, item.stamp);
+        own.version = std::max(own.version, item.version);
       }
     }
-    if (newer.say.kind == Kind::append) {  // likewise what is said of items: a connection loses no part of it
+    if (newer.say.kind ==
+        GroupMessageKind::append) {  // likewise what is said of items: a connection loses no part of it
       for (const auto& [id, item] : older.say.items) {
         const auto [at, added] = newer.say.items.emplace(id, item);
-        if (!added && !at->second.payload && !at->second.over) at->second.payload = item.payload;
+        if (!added && !at->second.payload && !at->second.completed) at->second.payload = item.payload;
       }
     }
     return std::make_shared<const Frame>(std::move(newer));
@@ -306,7 +312,7 @@
       all.push_back(std::move(s));
     };
     for (const auto& frame : w.frames) deliver(w, *frame, add);
-    for (Place p = 0; p < kVoters; ++p) {
+    for (MemberIndex p = 0; p < kGroupSize; ++p) {
       if (w.nodes[p].group) acts(w, p, add, all);
       fails(w, p, add);
     }
@@ -332,24 +338,24 @@
     if (before == after && next.frames.size() == w.frames.size()) return;
     static const char* const words[] = {"what it owns and holds", "an acknowledgement",
                                         "a question for its vote", "a vote", "a refusal"};
-    add(std::string(kNames[f.to]) + " hears from " + kNames[f.say.from] + ": " +
+    add(std::string(kNames[f.to]) + " hears from " + kNames[f.say.sender] + ": " +
             words[static_cast<int>(f.say.kind)] + " (epoch " + std::to_string(f.say.epoch) + ")",
         std::move(next));
   }
 
   template <typename Add>
-  void acts(const World& w, Place p, Add& add, std::vector<Step>& all) {
+  void acts(const World& w, MemberIndex p, Add& add, std::vector<Step>& all) {
     const Node& n = w.nodes[p];
-    if (n.group->next_wake() <= w.now && (n.group->owns() || w.questions < bounds_.questions)) {
+    if (n.group->next_wake() <= w.now && (n.group->is_owner() || w.questions < bounds_.questions)) {
       World next = w;
-      next.questions += n.group->owns() ? 0 : 1;
+      next.questions += n.group->is_owner() ? 0 : 1;
       next.nodes[p].group->wake(w.now);
       collect(next, p);
-      add(std::string(kNames[p]) + (n.group->owns() ? " asks for its lease again" : " asks for votes"),
+      add(std::string(kNames[p]) + (n.group->is_owner() ? " asks for its lease again" : " asks for votes"),
           std::move(next));
     }
     const copies::Item* item = n.group->find(kId);
-    if (!n.group->owns() || !item || item->over) return;
+    if (!n.group->is_owner() || !item || item->completed) return;
     if (n.inherited) {
       inherit(w, p, add);
       return;
@@ -371,14 +377,14 @@
       if (!broken.empty()) all.back().broken = broken;
     }
     // What was not held elsewhere in time is not sent. Another attempt may be made of what is not out.
-    const bool stale = attempt > n.called && w.now >= item->attempts.back().sent + settings_.lease;
-    const bool ended = item->attempts.back().fate != copies::Fate::out;
+    const bool stale = attempt > n.called && w.now >= item->attempts.back().sent_at + settings_.lease;
+    const bool ended = item->attempts.back().state != copies::AttemptState::in_flight;
     if ((stale || ended) && attempt < bounds_.attempts) {
       World next = w;
       Node& node = next.nodes[p];
       copies::Item changed = *item;
-      if (stale) changed.attempts.back().fate = copies::Fate::never_ran;
-      changed.attempts.push_back({"host", "zone", w.now, p, copies::Fate::out});
+      if (stale) changed.attempts.back().state = copies::AttemptState::never_ran;
+      changed.attempts.push_back({"host", "zone", w.now, p, copies::AttemptState::in_flight});
       node.called = attempt;
       node.group->put(kId, std::move(changed));
       node.group->flush(w.now);
@@ -390,25 +396,25 @@
   // As the relay does with what it is given: what may have run and may not be repeated ends as failed, what
   // may still be out goes back to its client, the rest is sent again.
   template <typename Add>
-  void inherit(const World& w, Place p, Add& add) {
+  void inherit(const World& w, MemberIndex p, Add& add) {
     const copies::Item& item = *w.nodes[p].group->find(kId);
-    const auto unknown = [](const copies::Attempt& a) { return a.fate != copies::Fate::never_ran; };
-    const auto astray = [&](const copies::Attempt& a) { return w.nodes[p].group->astray(a); };
+    const auto unknown = [](const copies::Attempt& a) { return a.state != copies::AttemptState::never_ran; };
+    const auto astray = [&](const copies::Attempt& a) { return w.nodes[p].group->is_orphaned(a); };
     World next = w;
     Node& n = next.nodes[p];
     copies::Item changed = item;
     n.inherited = false;
     n.called = static_cast<unsigned>(item.attempts.size());
     const bool none_left = item.attempts.size() >= bounds_.attempts || !item.payload;
-    changed.over = none_left || (bounds_.once && std::ranges::any_of(item.attempts, unknown)) ||
-                   std::ranges::any_of(item.attempts, astray);
-    if (changed.over) {
+    changed.completed = none_left || (bounds_.once && std::ranges::any_of(item.attempts, unknown)) ||
+                        std::ranges::any_of(item.attempts, astray);
+    if (changed.completed) {
       next.over = true;
       ++result_.ends_unknown;
     } else {
-      changed.attempts.push_back({"host", "zone", w.now, p, copies::Fate::out});
+      changed.attempts.push_back({"host", "zone", w.now, p, copies::AttemptState::in_flight});
     }
-    const bool over = changed.over;
+    const bool over = changed.completed;
     n.group->put(kId, std::move(changed));
     n.group->flush(w.now);
     collect(next, p);
@@ -418,7 +424,7 @@
 
   template <typename Add>
   void ends(const World& w, std::size_t c, Add& add) {
-    const Place by = w.out[c].by;
+    const MemberIndex by = w.out[c].by;
     const Node& n = w.nodes[by];
     if (!n.group) return;
     const copies::Item* item = n.group->find(kId);
@@ -429,15 +435,15 @@
       next.over = next.over || how == delivered;
       next.ran -= how == turned_away ? 1 : 0;
       Group& group = *next.nodes[by].group;
-      if (group.owns() && item && !item->over && item->attempts.size() == n.called &&
-          item->attempts.back().by == by) {
+      if (group.is_owner() && item && !item->completed && item->attempts.size() == n.called &&
+          item->attempts.back().sender == by) {
         copies::Item changed = *item;
-        changed.attempts.back().fate =
-            how == turned_away ? copies::Fate::never_ran : copies::Fate::may_have_run;
+        changed.attempts.back().state =
+            how == turned_away ? copies::AttemptState::never_ran : copies::AttemptState::may_have_run;
         const bool again =
             (how == turned_away || !bounds_.once) && changed.attempts.size() < bounds_.attempts;
-        changed.over = how == delivered || !again;
-        next.over = next.over || changed.over;
+        changed.completed = how == delivered || !again;
+        next.over = next.over || changed.completed;
         group.put(kId, std::move(changed));
         group.flush(w.now);
         collect(next, by);
@@ -448,13 +454,13 @@
   }
 
   template <typename Add>
-  void fails(const World& w, Place p, Add& add) {
+  void fails(const World& w, MemberIndex p, Add& add) {
     const Node& n = w.nodes[p];
     if (n.group) {
       if (w.crashes < bounds_.crashes) {
         World next = w;
         Node& node = next.nodes[p];
-        node.disk = std::make_shared<const Group::Durable>(n.group->durable());
+        node.disk = std::make_shared<const Group::DurableState>(n.group->durable());
         node.group.reset();
         node.inherited = false;
         node.called = 0;
@@ -474,18 +480,18 @@
     }
     if (n.lost) {  // one that comes back with an empty folder knows of no group: it neither votes nor
                    // acknowledges
-      if (bounds_.without != copies::Without::amnesia || p == 0) return;
+      if (bounds_.without != copies::DisabledSafeguard::lost_state_check || p == 0) return;
       World next = w;
       Node& node = next.nodes[p];
       node = {};
-      node.group.emplace(settings_, copies::Shape{p, bounds_.copies}, Group::Durable{}, Group::Start::opened,
-                         w.now);
+      node.group.emplace(settings_, copies::Role{p, bounds_.copies}, Group::DurableState{},
+                         Group::Start::opened, w.now);
       add(std::string(kNames[p]) + " is back with an empty folder", std::move(next));
       return;
     }
     World next = w;
     Node& node = next.nodes[p];
-    node.group.emplace(settings_, copies::Shape{p, bounds_.copies}, *n.disk, Group::Start::restarted, w.now);
+    node.group.emplace(settings_, copies::Role{p, bounds_.copies}, *n.disk, Group::Start::restarted, w.now);
     node.disk = nullptr;
     add(std::string(kNames[p]) + " is started again with its folder", std::move(next));
   }
@@ -494,12 +500,12 @@
     int leaders = 0;
     bool live = false, ended = false;
     for (const Node& n : w.nodes) {
-      leaders += n.group && n.group->leads(w.now) ? 1 : 0;
+      leaders += n.group && n.group->holds_lease(w.now) ? 1 : 0;
       const copies::Items* items = n.group ? &n.group->items() : n.disk ? &n.disk->items : nullptr;
       const auto found = items ? items->find(kId) : copies::Items::const_iterator{};
       if (!items || found == items->end()) continue;
-      live = live || (!found->second.over && found->second.payload);
-      ended = ended || found->second.over;
+      live = live || (!found->second.completed && found->second.payload);
+      ended = ended || found->second.completed;
     }
     if (leaders > 1) return "two may act at once";
     if (w.told && !w.over && !live && !ended && w.losses <= bounds_.copies)
--- a/lab/ownership.h
+++ b/lab/ownership.h
@@ -21,7 +21,7 @@
   unsigned copies = 2;     // of its body besides the origin's
   bool once = false;       // work that may not be repeated
   std::size_t most_states = 3'000'000;
-  copies::Without without = copies::Without::nothing;
+  copies::DisabledSafeguard without = copies::DisabledSafeguard::none;
   const std::atomic<bool>* stop = nullptr;
 };
 
--- a/lab/tool_copies.cpp
+++ b/lab/tool_copies.cpp
@@ -39,7 +39,7 @@
   double stall = 0;
   double rate = 0;
   unsigned jobs = std::max(1U, std::thread::hardware_concurrency());
-  copies::Without without = copies::Without::nothing;
+  copies::DisabledSafeguard without = copies::DisabledSafeguard::none;
 
   CopyDay day(std::uint64_t number) const {
     CopyDay d = copy_day(number, std::max(4U, most));
@@ -47,18 +47,18 @@
     if (copies > 0) d.settings.copies = copies;
     if (rate > 0) d.rate = rate;
     if (lose > 0 || stall > 0) {
-      d.settings.budget = copies::CopiesSettings{}.budget;
+      d.settings.body_budget = copies::CopiesSettings{}.body_budget;
       d.faults.clear();
       if (lose > 0) d.faults.push_back({CopyFault::lose, 8, 60, lose, 0});
       if (stall > 0) d.faults.push_back({CopyFault::stall, 10, 4, stall, 0});
     }
-    d.settings.without = without;
+    d.settings.disabled_safeguard = without;
     return d;
   }
 
   static void tell(const CopyDay& d, const CopyResult& r) {
     std::printf("seed %llu: %u relays, copies %u, %u groups each\n", static_cast<unsigned long long>(d.seed),
-                d.relays, d.settings.copies, d.settings.spread);
+                d.relays, d.settings.copies, d.settings.group_count);
     for (const CopyFaultSpec& f : d.faults) {
       std::printf("%9.4f %s for %.2f s, part %.2f, size %.2f\n", f.at, std::string(name_of(f.kind)).c_str(),
                   f.lasts, f.part, f.size);
@@ -149,9 +149,9 @@
   check->add_option("--copies", b.copies, "Of its body")->check(CLI::Range(1, 2))->capture_default_str();
   check->add_flag("--once", b.once, "Work that may not be repeated");
   check->add_option("--most-states", b.most_states, "Then it ends")->capture_default_str();
-  const auto add_without = [](CLI::App* to, copies::Without& without) {
-    std::map<std::string, copies::Without> all;
-    for (const copies::WithoutName& n : copies::kWithoutNames) all.emplace(n.name, n.without);
+  const auto add_without = [](CLI::App* to, copies::DisabledSafeguard& without) {
+    std::map<std::string, copies::DisabledSafeguard> all;
+    for (const copies::SafeguardName& n : copies::kSafeguardNames) all.emplace(n.name, n.safeguard);
     to->add_option("--without", without, "Break the exchange on purpose, to see that it is noticed")
         ->transform(CLI::CheckedTransformer(std::move(all), CLI::ignore_case))
         ->type_name("PART");
--- a/relay/copies_config.cpp
+++ b/relay/copies_config.cpp
@@ -49,22 +49,22 @@
       {"bind", address_of(&CopiesConfig::bind)},
       {"advertise", address_of(&CopiesConfig::advertise)},
       {"copies", number_of(&S::copies)},
-      {"spread", number_of(&S::spread)},
+      {"spread", number_of(&S::group_count)},
       {"lease_ms", span_of(&S::lease)},
-      {"answer_ms", span_of(&S::answer_within)},
+      {"answer_ms", span_of(&S::answer_timeout)},
       {"zones", word_of("any", "other", [](CopiesConfig& c, bool other) { c.settings.other_zone = other; })},
       {"on_shortage", word_of("refuse", "accept",
                               [](CopiesConfig& c, bool accept) {
                                 c.settings.on_shortage =
-                                    accept ? copies::Shortage::accept : copies::Shortage::refuse;
+                                    accept ? copies::ShortagePolicy::accept : copies::ShortagePolicy::refuse;
                               })},
 #ifdef VALEDRUM_BREAKABLE  // a build of the tests alone: they have to see that what is broken is noticed
       {"without",
        [](CopiesConfig& c, const json::value& v, std::string_view f) {
          const auto* named =
-             std::ranges::find(copies::kWithoutNames, fields::text(v, f), &copies::WithoutName::name);
-         if (named == std::end(copies::kWithoutNames)) fields::reject(f, "no such part");
-         c.settings.without = named->without;
+             std::ranges::find(copies::kSafeguardNames, fields::text(v, f), &copies::SafeguardName::name);
+         if (named == std::end(copies::kSafeguardNames)) fields::reject(f, "no such part");
+         c.settings.disabled_safeguard = named->safeguard;
        }},
 #endif
   };
@@ -74,7 +74,7 @@
 }  // namespace
 
 std::size_t copies_descriptors(const CopiesConfig& config) {
-  return 4 * std::size_t{config.settings.spread} * (valedrum::copies::kVoters - 1) + 4;
+  return 4 * std::size_t{config.settings.group_count} * (valedrum::copies::kGroupSize - 1) + 4;
 }
 
 CopiesConfig parse_copies(const json::object& object, std::uint64_t disk_bytes) {
@@ -82,15 +82,15 @@
   fields::read(object, known_fields(), "copies.", c);
   if (!c.bind) fields::reject("copies.bind", "missing");
   if (!c.advertise) c.advertise = c.bind;
-  c.settings.margin = c.settings.renew = c.settings.lease / 4;
-  c.settings.again = c.settings.lease / 16;
+  c.settings.lease_margin = c.settings.renewal_interval = c.settings.lease / 4;
+  c.settings.vote_retry_interval = c.settings.lease / 16;
   // The file and its successor stand side by side while it is written anew, at six tenths of the room: what
   // matters has to fit into three, bodies of others, own ones, and what is said of them.
   const auto disk = static_cast<std::size_t>(static_cast<double>(disk_bytes) * kCopiesDisk);
   if (disk < kLeastDisk) fields::reject("limits.disk_mb", "too little for copies");
-  c.settings.budget = disk / 8;
+  c.settings.body_budget = disk / 8;
   try {
-    copies::check(c.settings);
+    copies::validate(c.settings);
   } catch (const std::invalid_argument& e) {
     throw std::invalid_argument("config: copies." + std::string(e.what()));
   }
--- a/relay/copies_file.cpp
+++ b/relay/copies_file.cpp
@@ -28,16 +28,17 @@
     : disk_(disk), member_(std::move(member)), most_(most_bytes), durability_(durability) {
   disk_.remove(std::string(kName) + ".new");
   stored_ = copies::read_stored(disk_.read(kName).value_or(""), wall, boot);
-  if (stored_.later) throw std::runtime_error("PROXY_STATE: the copies are of a later program");
-  const bool others = stored_.life != 0 && stored_.member != member_;
+  if (stored_.newer_format) throw std::runtime_error("PROXY_STATE: the copies are of a later program");
+  const bool others = stored_.storage_id != 0 && stored_.member != member_;
   if (stored_.damaged || others) {
     std::cerr << "myrtlegrade: copies: the file is not used: "
               << (others ? "it is another member's" : "it is damaged") << std::endl;
     stored_ = {};
   }
-  size_ = stored_.bytes;
-  wall_ = stored_.wall.value_or(wall);
-  behind_ = boot != 0 && !stored_.wall;  // written anew before anything goes behind what another clock wrote
+  size_ = stored_.valid_bytes;
+  wall_ = stored_.wall_offset.value_or(wall);
+  behind_ =
+      boot != 0 && !stored_.wall_offset;  // written anew before anything goes behind what another clock wrote
   errno = 0;
   if (!disk_.cut(kName, size_))
     throw std::system_error(errno, std::generic_category(), "PROXY_STATE: copies");
@@ -45,7 +46,7 @@
 
 bool CopiesFile::append(const std::string& records, const std::function<std::string()>& snapshot) {
   std::string all = records;
-  if (synced_ > told_) all.insert(0, copies::record_of_synced(told_ = synced_));
+  if (synced_ > told_) all.insert(0, copies::synced_record(told_ = synced_));
   const std::uint64_t after = size_ + all.size();
   const bool anew = size_ == 0 || after > std::max(std::min(kLeastAnew, most_ / 4), 2 * written_anew_) ||
                     after > most_ * 6 / 10;
@@ -65,7 +66,7 @@
 // damage.
 bool CopiesFile::rewrite(const std::string& snapshot) {
   std::string text = snapshot;
-  if (durability_ == recovery::Durability::power) text += copies::record_of_synced(0);
+  if (durability_ == recovery::Durability::power) text += copies::synced_record(0);
   if (size_ + text.size() > most_) return false;
   const recovery::Replaced replaced = recovery::replace(disk_, kName, text, durability_);
   if (replaced == recovery::Replaced::no) return false;
--- a/relay/copies_file.h
+++ b/relay/copies_file.h
@@ -24,7 +24,7 @@
 
   // What was found. Nothing where it was damaged or another member's: then this is a new life, which knows of
   // no group.
-  valedrum::copies::Stored take() { return std::exchange(stored_, {}); }
+  valedrum::copies::StoredState take() { return std::exchange(stored_, {}); }
 
   // What has to be on disk before anything that depends on it is said. With `snapshot`, all that matters, it
   // is written anew where little of it still does. False: the disk takes no more; nothing of it may be said.
@@ -47,7 +47,7 @@
   std::uint64_t size_ = 0, written_anew_ = 0;  // bytes; after the last time that it was written anew
   bool behind_ = false;                        // something was not written
   valedrum::copies::Duration wall_{};
-  valedrum::copies::Stored stored_;
+  valedrum::copies::StoredState stored_;
 };
 
 // What the day's clock shows at the zero of the one that copies tell time by.
--- a/relay/copies_log.cpp
+++ b/relay/copies_log.cpp
@@ -11,26 +11,26 @@
 
 namespace {
 
-std::string_view name_of(copies::Kind kind) {
+std::string_view name_of(copies::GroupMessageKind kind) {
   constexpr std::string_view names[] = {"append", "ack", "ask", "vote", "refuse"};
   return names[static_cast<std::size_t>(kind)];
 }
 
-void log_ownership(EventLog& log, const std::string& from, const copies::Word& word) {
+void log_ownership(EventLog& log, const std::string& from, const copies::Envelope& word) {
   if (!log.admits()) return;
   std::ostringstream text;
-  text << name_of(word.say.kind) << " from=" << from << " group=" << word.group.origin << '/'
-       << word.group.number << " epoch=" << word.say.epoch;
+  text << name_of(word.message.kind) << " from=" << from << " group=" << word.group.origin << '/'
+       << word.group.number << " epoch=" << word.message.epoch;
   log.write("heard", text.str());
 }
 
-void trace_copies(const std::string& from, const copies::Word& word) {
-  for (const auto& [id, item] : word.say.items) {
-    if (word.say.kind == copies::Kind::ack) {
+void trace_copies(const std::string& from, const copies::Envelope& word) {
+  for (const auto& [id, item] : word.message.items) {
+    if (word.message.kind == copies::GroupMessageKind::ack) {
       MessageTrace::event(id, "copy_acknowledged", "by", from);
     } else {
       MessageTrace::event(id, "copy_held", "from", from, "body", item.payload != nullptr, "epoch",
-                          word.say.epoch);
+                          word.message.epoch);
     }
   }
 }
@@ -38,10 +38,10 @@
 }  // namespace
 
 void log_frame(EventLog& log, const std::string& from, const copies::Frame& frame) {
-  for (const copies::Word& word : frame.words) {
-    const copies::Kind kind = word.say.kind;
-    const bool ownership =
-        kind == copies::Kind::ask || kind == copies::Kind::vote || kind == copies::Kind::refuse;
+  for (const copies::Envelope& word : frame.envelopes) {
+    const copies::GroupMessageKind kind = word.message.kind;
+    const bool ownership = kind == copies::GroupMessageKind::vote_request ||
+                           kind == copies::GroupMessageKind::vote || kind == copies::GroupMessageKind::reject;
     if (ownership) log_ownership(log, from, word);
     if (!ownership && MessageTrace::enabled()) trace_copies(from, word);
   }
--- a/relay/copy_net.cpp
+++ b/relay/copy_net.cpp
@@ -59,8 +59,8 @@
       retry_(executor) {
   if (durability == valedrum::recovery::Durability::power)
     syncer_ = std::make_shared<Syncer>(executor, [this] { return file_.sync_later(); });
-  copies::Self self;
-  self.seat = {name, 0, config.advertise};
+  copies::LocalMember self;
+  self.identity = {name, 0, config.advertise};
   self.machine = fleet.machine;
   self.zone = fleet.zone;
   // Other members may still know groups that this one has dropped, so their numbers must not come again in
@@ -120,11 +120,13 @@
 }
 
 void CopyNet::candidates(std::vector<copies::Candidate> all) {
-  copies_->candidates(now(), std::move(all));
+  copies_->set_candidates(now(), std::move(all));
   turn();
 }
 
-copies::Published CopyNet::published() const { return {config_.advertise, copies_->life(), copies_->room()}; }
+copies::PublishedMember CopyNet::published() const {
+  return {config_.advertise, copies_->storage_id(), copies_->free_eighths()};
+}
 
 // What others hear must not be newer than what this relay knows after a crash. Events lead to more of it.
 void CopyNet::turn() {
@@ -145,7 +147,7 @@
     if (kept) send_when_kept(std::move(frames), !records.empty());
     for (const copies::CopyEvent& event : copies_->take_events()) {
       again_ = true;
-      if (const auto* noted = std::get_if<copies::Noted>(&event)) {
+      if (const auto* noted = std::get_if<copies::LogLine>(&event)) {
         std::cerr << "myrtlegrade: copies: " << noted->line << std::endl;
       } else {
         on_event_(event);
@@ -171,7 +173,7 @@
 
 // What others are told they rely on: with durability `power` it is synced first. What says nothing new waits
 // its turn.
-void CopyNet::send_when_kept(std::vector<copies::Copies::ToSend> frames, bool changed) {
+void CopyNet::send_when_kept(std::vector<copies::Copies::OutgoingFrame> frames, bool changed) {
   if (frames.empty()) return;
   if (!syncer_ || (!changed && syncer_->idle())) {
     for (const auto& frame : frames) send(frame);
@@ -191,7 +193,7 @@
 }
 
 // What can't be sent is lost: it is said anew once there is a connection, or asked for again.
-void CopyNet::send(const copies::Copies::ToSend& frame) {
+void CopyNet::send(const copies::Copies::OutgoingFrame& frame) {
   Peer& peer = peers_[frame.to.name];
   const auto at = SteadyClock::now();
   if (peer.stream &&
@@ -200,7 +202,7 @@
     return;
   }
   if (peer.stream) {
-    if (frame.asks && !peer.unanswered) peer.unanswered = at;
+    if (frame.expects_answer && !peer.unanswered) peer.unanswered = at;
     peer.stream->send_record(frame.frame);
     return;
   }
@@ -223,7 +225,7 @@
   return from;
 }
 
-asio::awaitable<void> CopyNet::connect(copies::Seat to) {
+asio::awaitable<void> CopyNet::connect(copies::MemberIdentity to) {
   const auto self = shared_from_this();
   const auto stream = std::make_shared<Stream>(tcp::socket(executor_), kMostFrame, StreamUse::copies);
   asio::steady_timer limit(executor_, kUpWithin);
@@ -333,15 +335,15 @@
   std::size_t held = 0, own = 0, inherited = 0;
   for (const auto& g : copies_->groups(at)) {
     json::array seats;
-    for (const copies::Seat& s : g.head.seats) seats.emplace_back(s.name);
-    (g.owns ? g.self == 0 ? own : inherited : held) += g.live;
+    for (const copies::MemberIdentity& s : g.config.members) seats.emplace_back(s.name);
+    (g.is_owner ? g.self == 0 ? own : inherited : held) += g.live_count;
     groups.push_back({{"origin", g.id.origin},
                       {"members", std::move(seats)},
-                      {"copies", g.head.copies},
-                      {"owner", g.head.seats[g.owner].name},
+                      {"copies", g.config.copies},
+                      {"owner", g.config.members[g.owner].name},
                       {"epoch", g.epoch},
-                      {"messages", g.live},
-                      {"leads", g.leads},
+                      {"messages", g.live_count},
+                      {"leads", g.holds_lease},
                       {"open", !g.sealed}});
   }
   const copies::CopyCounters& c = copies_->counters();
@@ -350,21 +352,21 @@
   return json::serialize(json::object{{"own", own},
                                       {"held", held},
                                       {"inherited", inherited},
-                                      {"bytes_held", copies_->bytes_held()},
+                                      {"bytes_held", copies_->held_bytes()},
                                       {"connections", connected},
                                       {"counters",
                                        {{"placed", c.placed},
-                                        {"short", c.short_of},
-                                        {"alone", c.unplaced},
+                                        {"short", c.under_replicated},
+                                        {"alone", c.local_only},
                                         {"refused", c.refused},
-                                        {"late", c.late},
-                                        {"no_room", c.no_room},
-                                        {"groups", c.groups},
-                                        {"won", c.won},
-                                        {"lost", c.lost},
-                                        {"inherited", c.inherited},
+                                        {"late", c.ticket_timeouts},
+                                        {"no_room", c.bodies_rejected},
+                                        {"groups", c.groups_opened},
+                                        {"won", c.ownerships_gained},
+                                        {"lost", c.ownerships_lost},
+                                        {"inherited", c.taken_over},
                                         {"expired", c.expired},
-                                        {"foreign", c.foreign},
+                                        {"foreign", c.foreign_messages},
                                         {"unread", unread_}}},
                                       {"groups", std::move(groups)}});
 }
--- a/relay/copy_net.h
+++ b/relay/copy_net.h
@@ -43,7 +43,7 @@
   // Whom it may choose as holders, as the view has them.
   void candidates(std::vector<valedrum::copies::Candidate> all);
   // What others have to know of this one.
-  valedrum::copies::Published published() const;
+  valedrum::copies::PublishedMember published() const;
 
   // After anything that was told to copies(): disk first, then what others are told, then events.
   void turn();
@@ -62,11 +62,11 @@
 
   bool open();
   void arm();
-  void send_when_kept(std::vector<valedrum::copies::Copies::ToSend> frames, bool changed);
-  void send(const valedrum::copies::Copies::ToSend& frame);
+  void send_when_kept(std::vector<valedrum::copies::Copies::OutgoingFrame> frames, bool changed);
+  void send(const valedrum::copies::Copies::OutgoingFrame& frame);
   boost::asio::awaitable<void> accept();
   boost::asio::awaitable<void> attend(std::shared_ptr<Stream> stream);
-  boost::asio::awaitable<void> connect(valedrum::copies::Seat to);
+  boost::asio::awaitable<void> connect(valedrum::copies::MemberIdentity to);
   boost::asio::awaitable<void> listen(std::shared_ptr<Stream> stream, std::string from);
   Writer hello(const std::string& to) const;
   std::optional<std::string> read_hello(const std::string& frame) const;
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -176,7 +176,7 @@
   if (open.over || open.ending || --open.listeners > 0) return;
   MessageTrace::event(id, "withdrawn");
   end_withdrawn(open);
-  if (copies_) copies_->copies().over(CopyNet::now(), id);
+  if (copies_) copies_->copies().complete(CopyNet::now(), id);
   happened(vetchhinge::Withdrawn{message});
   close_message(message);
 }
@@ -223,11 +223,12 @@
     } else {
       open.may_have_run = true;
     }
-    if (copies_ && result.over) copies_->copies().over(CopyNet::now(), open.payload->id);
+    if (copies_ && result.over) copies_->copies().complete(CopyNet::now(), open.payload->id);
     if (copies_ && !result.over) {
-      using valedrum::copies::Fate;
-      copies_->copies().fate(CopyNet::now(), open.payload->id, item.attempt,
-                             never_ran(result.result) ? Fate::never_ran : Fate::may_have_run);
+      using valedrum::copies::AttemptState;
+      copies_->copies().set_attempt_state(
+          CopyNet::now(), open.payload->id, item.attempt,
+          never_ran(result.result) ? AttemptState::never_ran : AttemptState::may_have_run);
     }
     if (!result.over && !may_be_called_again(open)) end_owed_ = true;
   }
@@ -375,7 +376,7 @@
     MessageTrace::event(open.payload->id, "answered", "kind", name_of(answer.kind));
     if (copies_) {  // it may have been copied, and not been promised yet
       journal_.end(open.payload->id);
-      copies_->copies().over(CopyNet::now(), open.payload->id);
+      copies_->copies().complete(CopyNet::now(), open.payload->id);
     }
     std::exchange(open.respond, nullptr)(answer);
     close_message(id);
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -244,8 +244,8 @@
   void tell(Notice notice);
   void notice_settled(const std::string& message);
   void on_copies(const valedrum::copies::CopyEvent& event);
-  void on_done(const valedrum::copies::Done& done);
-  void inherit(const valedrum::copies::Inherited& inherited);
+  void on_done(const valedrum::copies::TicketCompleted& done);
+  void inherit(const valedrum::copies::OwnershipGained& inherited);
   void give_up(const std::string& id);
   void expired(const valedrum::copies::Expired& expired);
   void settle_pending();
@@ -268,7 +268,8 @@
   std::uint64_t last_undurable_ = kUndurable;  // as tickets, of calls that wait for the disk
   std::unordered_map<std::uint64_t, Notice> untold_;
   std::unordered_map<std::string, Waiting> waiting_;
-  std::unordered_map<std::string, valedrum::copies::Inherited> inherited_later_;  // own calls are still out
+  std::unordered_map<std::string, valedrum::copies::OwnershipGained>
+      inherited_later_;  // own calls are still out
   Journal journal_;
   std::shared_ptr<Syncer> syncer_;  // with durability `power`
   vetchhinge::Sender sender_;
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -34,7 +34,7 @@
 // One that is held here for another relay, or that this one has found and may not act on yet: its promise
 // stands.
 bool Relay::copied_elsewhere(const HandIn& message, const Server::Respond& respond) const {
-  const copies::Item* item = copies_ ? copies_->copies().look(message.id) : nullptr;
+  const copies::Item* item = copies_ ? copies_->copies().find(message.id) : nullptr;
   if (!item) return false;
   respond({item->live() ? Answer::Kind::taken : Answer::Kind::failed});
   return true;
@@ -42,16 +42,16 @@
 
 bool Relay::copy(const Open& open) {
   copies::Item item;
-  item.until = to_copies(open.deadline);
+  item.deadline = to_copies(open.deadline);
   item.payload = std::make_shared<const copies::Payload>(
       copies::Payload{open.payload->id, open.cls, open.payload->key, open.payload->body, open.destination,
                       runs_once(open.cls)});
-  return copies_->copies().take(CopyNet::now(), open.payload->id, std::move(item)) !=
-         copies::Copies::Taken::refused;
+  return copies_->copies().add(CopyNet::now(), open.payload->id, std::move(item)) !=
+         copies::Copies::Placement::refused;
 }
 
 void Relay::copy_attempt(const Open& open, const std::string& host, const std::string& zone) {
-  copies_->copies().attempt(CopyNet::now(), open.payload->id, {host, zone});
+  copies_->copies().add_attempt(CopyNet::now(), open.payload->id, {host, zone});
 }
 
 Relay::~Relay() {
@@ -77,9 +77,9 @@
     if (!synced || !copies_) return keep_promise(id, synced);
     const auto found = open_.find(id);
     if (found == open_.end() || found->second.over) return;
-    promises_.emplace(
-        copies_->copies().await(CopyNet::now(), {found->second.payload->id}, copies::Copies::Need::promise),
-        id);
+    promises_.emplace(copies_->copies().wait_for(CopyNet::now(), {found->second.payload->id},
+                                                 copies::Copies::Requirement::acceptance),
+                      id);
     copies_->turn();
   });
 }
@@ -97,7 +97,7 @@
   Open& open = open_.at(id);
   const bool may_be_found = journal_.may_be_found(open.payload->id);
   journal_.end(open.payload->id);
-  if (copies_) copies_->copies().over(CopyNet::now(), open.payload->id);
+  if (copies_) copies_->copies().complete(CopyNet::now(), open.payload->id);
   // Refused, its client hands it in again: then a restart must not find it here.
   const bool forgotten = flush_journal() || !may_be_found;
   const Answer::Kind kind = forgotten ? Answer::Kind::refused : Answer::Kind::failed;
@@ -130,7 +130,8 @@
   if (!copies_) return release(std::move(call), true);
   std::vector<std::string> ids;
   for (const CallItem& item : call.items) ids.push_back(item.payload->id);
-  const auto ticket = copies_->copies().await(CopyNet::now(), std::move(ids), copies::Copies::Need::act);
+  const auto ticket =
+      copies_->copies().wait_for(CopyNet::now(), std::move(ids), copies::Copies::Requirement::call);
   pending_calls_.emplace(ticket, std::move(call));
 }
 
@@ -157,7 +158,9 @@
   const auto found = ids_.find(notice.message);
   const bool once = found != ids_.end() && runs_once(open_.at(found->second).cls);
   const bool waits = notice.handed_back && once;
-  if (copies_) copies_->copies().owe(CopyNet::now(), notice.message, {notice.handed_back, notice.retry_in});
+  if (copies_)
+    copies_->copies().set_pending_notice(CopyNet::now(), notice.message,
+                                         {notice.handed_back, notice.retry_in});
   if (!waits) {
     discovery_.send(std::move(notice));
   } else {
@@ -169,7 +172,8 @@
 void Relay::tell_now(Notice notice, bool durable) {
   notice.handed_back = notice.handed_back && durable;
   if (!copies_ || !durable) return discovery_.send(std::move(notice));
-  const auto ticket = copies_->copies().await(CopyNet::now(), {notice.message}, copies::Copies::Need::tell);
+  const auto ticket =
+      copies_->copies().wait_for(CopyNet::now(), {notice.message}, copies::Copies::Requirement::notice);
   untold_.emplace(ticket, std::move(notice));
   copies_->turn();
 }
@@ -177,18 +181,18 @@
 void Relay::notice_settled(const std::string& message) {
   journal_.notice_settled(message);
   if (!copies_) return;
-  copies_->copies().over(CopyNet::now(), message);
+  copies_->copies().complete(CopyNet::now(), message);
   copies_->turn();
 }
 
 // -------------------------------------------------------------------------------------------- events
 
 void Relay::on_copies(const copies::CopyEvent& event) {
-  if (const auto* done = std::get_if<copies::Done>(&event)) return on_done(*done);
-  if (const auto* inherited = std::get_if<copies::Inherited>(&event)) return inherit(*inherited);
-  if (const auto* lost = std::get_if<copies::Lost>(&event)) return give_up(lost->id);
+  if (const auto* done = std::get_if<copies::TicketCompleted>(&event)) return on_done(*done);
+  if (const auto* inherited = std::get_if<copies::OwnershipGained>(&event)) return inherit(*inherited);
+  if (const auto* lost = std::get_if<copies::OwnershipLost>(&event)) return give_up(lost->id);
   if (const auto* over = std::get_if<copies::Expired>(&event)) return expired(*over);
-  if (const auto* ended = std::get_if<copies::Ended>(&event)) {
+  if (const auto* ended = std::get_if<copies::CompletedElsewhere>(&event)) {
     if (waiting_.contains(ended->id)) {
       journal_.end(ended->id);
       end_waiting(ended->id);
@@ -196,25 +200,25 @@
   }
 }
 
-void Relay::on_done(const copies::Done& done) {
+void Relay::on_done(const copies::TicketCompleted& done) {
   if (const auto promised = promises_.extract(done.ticket)) {
-    keep_promise(promised.mapped(), done.good);
+    keep_promise(promised.mapped(), done.succeeded);
   } else if (auto pending = pending_calls_.extract(done.ticket)) {
-    release(std::move(pending.mapped()), done.good);
+    release(std::move(pending.mapped()), done.succeeded);
   } else if (const auto untold = untold_.extract(done.ticket)) {
     Notice& notice = untold.mapped();
-    if (!done.good && !copies_->copies().is_own(notice.message)) {  // another ends it
+    if (!done.succeeded && !copies_->copies().is_owner(notice.message)) {  // another ends it
       journal_.notice_settled(notice.message);
       return;
     }
     // Nobody could be told: one that may send it still must find it failed, not back with its client.
-    notice.handed_back = notice.handed_back && done.good;
+    notice.handed_back = notice.handed_back && done.succeeded;
     discovery_.send(std::move(notice));
   }
 }
 
 // To be brought to its end as what a journal holds after a restart.
-void Relay::inherit(const copies::Inherited& inherited) {
+void Relay::inherit(const copies::OwnershipGained& inherited) {
   if (closing_) return;  // it takes no further step: its lease runs out, and another inherits
   const std::string& id = inherited.id;
   const copies::Item& item = inherited.item;
@@ -227,7 +231,7 @@
   // It was given up here without the others' leave. What is remembered as taken or as handed back may have
   // been theirs to end.
   if (const Ended* const end = journal_.ended(id); end && end->told == Ended::Told::failed)
-    return copies_->copies().over(CopyNet::now(), id);
+    return copies_->copies().complete(CopyNet::now(), id);
   auto found = waiting_.extract(id);
   if (!item.payload || !config_.dialect.classes.find(item.payload->cls)) {
     const Notice notice{id, false, {}};
@@ -239,10 +243,11 @@
                        item.payload->destination,
                        item.payload->key,
                        item.payload->body,
-                       from_copies(item.until),
+                       from_copies(item.deadline),
                        {}};
   for (const copies::Attempt& a : item.attempts) {
-    stored.attempts.push_back({a.host, a.zone, from_copies(a.sent), a.fate != copies::Fate::never_ran});
+    stored.attempts.push_back(
+        {a.host, a.zone, from_copies(a.sent_at), a.state != copies::AttemptState::never_ran});
   }
   std::optional<OutCall> out;
   if (found) {
@@ -255,7 +260,7 @@
     }
     journal_.flush();
   }
-  take_up(stored, out ? &*out : nullptr, inherited.astray);
+  take_up(stored, out ? &*out : nullptr, inherited.orphaned);
   if (out) apply_told(*out);
   schedule();
 }
@@ -286,8 +291,8 @@
   MessageTrace::event(over.id, "expired");
   end_waiting(over.id);
   Notice notice{over.id, over.notice.handed_back, whole_ms(over.notice.retry_in)};
-  if (const copies::Item* item = copies_->copies().look(over.id))
-    notice.owed_by = from_copies(item->until).steady + budgets::kNoticeOwed;
+  if (const copies::Item* item = copies_->copies().find(over.id))
+    notice.owed_by = from_copies(item->deadline).steady + budgets::kNoticeOwed;
   journal_.end_owing(notice);
   journal_.flush();
   discovery_.send(std::move(notice));
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -58,10 +58,10 @@
   for (const StoredMessage& stored : journal_.take_messages()) {
     const auto at = out.find(stored.id);
     const OutCall* call = at == out.end() ? nullptr : at->second;
-    if (copies_ && copies_->copies().look(stored.id)) {
+    if (copies_ && copies_->copies().find(stored.id)) {
       waiting_.emplace(stored.id, Waiting{stored, call ? std::optional(*call) : std::nullopt});
     } else {
-      if (copies_) copies_->copies().keep_alone(stored.id);
+      if (copies_) copies_->copies().add_local_only(stored.id);
       take_up(stored, call);
       if (call) apply_told(*call);
     }
--- a/relay/relay_same_request.cpp
+++ b/relay/relay_same_request.cpp
@@ -82,7 +82,7 @@
   known.told = Ended::Told::taken;
   journal_.remember(id, known);
   // Another gave it back to this relay meanwhile: there is nothing left to do.
-  if (copies_ && inherited_later_.erase(id) > 0) copies_->copies().over(CopyNet::now(), id);
+  if (copies_ && inherited_later_.erase(id) > 0) copies_->copies().complete(CopyNet::now(), id);
 }
 
 // Its client did not hear of it. Only what may have run and must not run twice is more than never handed in.
--- a/relay/relay_waiting.cpp
+++ b/relay/relay_waiting.cpp
@@ -91,7 +91,7 @@
   open.destination = stored.destination;
   open.deadline = stored.deadline;
   journal_.end(id, ended(open, Ended::Told::taken));
-  if (copies_) copies_->copies().over(CopyNet::now(), id);
+  if (copies_) copies_->copies().complete(CopyNet::now(), id);
   journal_.flush();
   end_waiting(id);
   return true;
--- a/relay/succession.cpp
+++ b/relay/succession.cpp
@@ -244,7 +244,8 @@
     const auto takes = [](const membership::Record& r) { return r.published_version == copies::kFormat; };
     for (const membership::Record& r : members.usable(takes)) {
       const auto said = copies::decode_published(r.published);
-      if (said) all.push_back({{r.name, said->life, said->address}, r.machine, r.zone, said->room});
+      if (said)
+        all.push_back({{r.name, said->storage_id, said->address}, r.machine, r.zone, said->free_eighths});
     }
     net->candidates(std::move(all));
   });
--- a/tests/budgets_test.cpp
+++ b/tests/budgets_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "copies/ends.h"
+#include "copies/expiry_queue.h"
 
 namespace myrtlegrade::test {
 namespace {
@@ -30,7 +30,7 @@
       {"answer", kHoldUp + kTick + kKernelTick, kAnswerOwed},
       {"final answer", kHoldUp + late, kAnswerLate},
       {"notice", late + notice, kNoticeOwed},
-      {"holder's notice", copies::kClockError + copies::kLeftToOwner + holder, kNoticeOwed},
+      {"holder's notice", copies::kClockError + copies::kOwnerGracePeriod + holder, kNoticeOwed},
       {"hand-back", handed_back + kKernelTick + notice, kNoticeOwed},
       {"told wait", kHoldUp, kToldTooLate + kSlack},
       {"notices that a start finds", notice, kStartOwed},
--- a/tests/copies_check_test.cpp
+++ b/tests/copies_check_test.cpp
@@ -6,12 +6,12 @@
 namespace valedrum::lab {
 namespace {
 
-using copies::Without;
+using copies::DisabledSafeguard;
 
 struct Case {
   unsigned leases, crashes, losses, questions, attempts, copies;
   bool once;
-  Without without;
+  DisabledSafeguard without;
 };
 
 OwnershipResult explore(const Case& c) {
@@ -34,7 +34,7 @@
   const OwnershipResult r = explore(c);
   std::string story;
   for (const std::string& line : r.story) story += line + "\n";
-  if (c.without == Without::nothing) {
+  if (c.without == DisabledSafeguard::none) {
     EXPECT_EQ(r.broken, "") << story;
     EXPECT_TRUE(r.whole);
     EXPECT_GT(r.takeovers, 0U);
@@ -46,15 +46,23 @@
 }
 
 constexpr Case kCases[] = {
-    {1, 0, 0, 1, 2, 2, true, Without::nothing},      {1, 0, 0, 1, 2, 2, false, Without::nothing},
-    {1, 1, 0, 1, 1, 2, true, Without::nothing},      {1, 0, 1, 1, 1, 2, false, Without::nothing},
-    {1, 0, 0, 1, 2, 1, true, Without::nothing},      {2, 0, 0, 1, 1, 1, false, Without::nothing},
-    {1, 0, 0, 1, 2, 2, true, Without::intents},      {1, 1, 1, 2, 2, 2, true, Without::lease},
-    {1, 0, 0, 1, 1, 2, true, Without::lease_start},  {2, 0, 0, 1, 1, 2, true, Without::patience},
-    {1, 0, 0, 1, 1, 2, true, Without::majority},     {2, 1, 0, 1, 1, 2, true, Without::promise},
-    {1, 1, 0, 1, 1, 2, true, Without::restart_wait}, {1, 0, 0, 1, 1, 2, true, Without::fence},
-    {1, 0, 0, 1, 2, 2, true, Without::merge},        {1, 0, 1, 1, 1, 2, true, Without::amnesia},
-    {1, 0, 0, 1, 2, 2, false, Without::astray},
+    {1, 0, 0, 1, 2, 2, true, DisabledSafeguard::none},
+    {1, 0, 0, 1, 2, 2, false, DisabledSafeguard::none},
+    {1, 1, 0, 1, 1, 2, true, DisabledSafeguard::none},
+    {1, 0, 1, 1, 1, 2, false, DisabledSafeguard::none},
+    {1, 0, 0, 1, 2, 1, true, DisabledSafeguard::none},
+    {2, 0, 0, 1, 1, 1, false, DisabledSafeguard::none},
+    {1, 0, 0, 1, 2, 2, true, DisabledSafeguard::replicated_intent},
+    {1, 1, 1, 2, 2, 2, true, DisabledSafeguard::lease},
+    {1, 0, 0, 1, 1, 2, true, DisabledSafeguard::lease_start},
+    {2, 0, 0, 1, 1, 2, true, DisabledSafeguard::vote_withholding},
+    {1, 0, 0, 1, 1, 2, true, DisabledSafeguard::majority},
+    {2, 1, 0, 1, 1, 2, true, DisabledSafeguard::durable_promise},
+    {1, 1, 0, 1, 1, 2, true, DisabledSafeguard::restart_wait},
+    {1, 0, 0, 1, 1, 2, true, DisabledSafeguard::epoch_fence},
+    {1, 0, 0, 1, 2, 2, true, DisabledSafeguard::vote_merge},
+    {1, 0, 1, 1, 1, 2, true, DisabledSafeguard::lost_state_check},
+    {1, 0, 0, 1, 2, 2, false, DisabledSafeguard::orphan_check},
 };
 INSTANTIATE_TEST_SUITE_P(Bounds, Ownership, testing::ValuesIn(kCases));
 
--- a/tests/copies_ends_test.cpp
+++ b/tests/copies_ends_test.cpp
@@ -12,7 +12,7 @@
 // is left is for the holder's wait and for its notice's tries (NoticeSender).
 constexpr Duration kPageOwed = 300ms, kPageHoldUp = 150ms, kTries = 100ms;
 
-std::string name_of(Place place) {
+std::string name_of(MemberIndex place) {
   std::string name(1, 'n');
   return name += std::to_string(place);
 }
@@ -20,29 +20,29 @@
 // A member of a group of n0's, and what n0 says to it. Both clocks agree.
 class Holder {
  public:
-  explicit Holder(Place place) {
-    Self self;
-    self.seat.name = name_of(place);
-    copies_.emplace(CopiesSettings{}, self, Stored{}, 3, now_);
+  explicit Holder(MemberIndex place) {
+    LocalMember self;
+    self.identity.name = name_of(place);
+    copies_.emplace(CopiesSettings{}, self, StoredState{}, 3, now_);
     word_.group = {"n0", 17};
-    word_.head.emplace();
-    for (Place p = 0; p < kVoters; ++p)
-      word_.head->seats[p] = {name_of(p), p == place ? copies_->life() : 5U + p, {p + 1U, 1}};
-    word_.say.epoch = 1;
+    word_.config.emplace();
+    for (MemberIndex p = 0; p < kGroupSize; ++p)
+      word_.config->members[p] = {name_of(p), p == place ? copies_->storage_id() : 5U + p, {p + 1U, 1}};
+    word_.message.epoch = 1;
   }
 
   Time now() const { return now_; }
   Copies& copies() { return *copies_; }
   // The owner says what it does; the word takes so long.
   void hear(Items items, Duration takes = {}) {
-    word_.say.at = now_ - takes;
-    word_.say.items = std::move(items);
-    for (auto& [id, item] : word_.say.items) item.stamp = {1, ++revision_};
+    word_.message.sent_at = now_ - takes;
+    word_.message.items = std::move(items);
+    for (auto& [id, item] : word_.message.items) item.version = {1, ++revision_};
     copies_->receive(now_, "n0", {{word_}, false});
   }
   static Item lasting(Time until) {
     Item item;
-    item.until = until;
+    item.deadline = until;
     item.payload = std::make_shared<const Payload>(Payload{"a", "c", "", "body", 1, true});
     return item;
   }
@@ -66,14 +66,14 @@
  private:
   Time now_{100s};
   std::optional<Copies> copies_;
-  Word word_;
+  Envelope word_;
   std::uint64_t revision_ = 0;
 };
 
 // Either holder by itself, whatever the phase of its sweeps: the pauses of a holder and a hold-up of 0.15 s
 // were together more than the 300 ms that a notice is owed within.
 TEST(CopiesEnds, AHolderAloneLeavesTimeForAHoldUpAndItsNotice) {
-  for (const Place place : {Place{1}, Place{2}}) {
+  for (const MemberIndex place : {MemberIndex{1}, MemberIndex{2}}) {
     for (Duration phase = 0ms; phase < 100ms; phase += 7ms) {
       for (const Duration heard : {Duration(0ms), Duration(100ms), Duration(800ms)}) {  // before its time
         Holder h(place);
@@ -109,11 +109,11 @@
   Holder h(1);
   const Time until = h.now() + 1s;
   h.hear({{"a", Holder::lasting(until)}}, kPageHoldUp);
-  EXPECT_EQ(h.copies().look("a")->until, until + kPageHoldUp);
+  EXPECT_EQ(h.copies().find("a")->deadline, until + kPageHoldUp);
   h.run(h.now() + 250ms);
   h.hear({}, 2ms);
-  EXPECT_EQ(h.copies().look("a")->until, until + 2ms);
-  EXPECT_LE(h.run(until + kPageOwed).at("a"), until + kClockError + kLeftToOwner);
+  EXPECT_EQ(h.copies().find("a")->deadline, until + 2ms);
+  EXPECT_LE(h.run(until + kPageOwed).at("a"), until + kClockError + kOwnerGracePeriod);
 }
 
 // The least that any word of a connection took was believed for as long as it lasted: where the holder's
@@ -132,7 +132,7 @@
   h.hear({{"a", Holder::lasting(until - behind())}}, kWay + behind());
   const Time ended = h.run(until + kPageOwed).at("a");
   EXPECT_GE(ended, until);
-  EXPECT_LE(ended, until + kClockError + kLeftToOwner);
+  EXPECT_LE(ended, until + kClockError + kOwnerGracePeriod);
 }
 
 // An owner that is heard ends its messages itself, also where it is a little late: the holders' notices would
@@ -143,13 +143,13 @@
   h.hear({{"a", Holder::lasting(until)}, {"b", Holder::lasting(until)}});
   h.run(until - 200ms);
   h.hear({});
-  EXPECT_TRUE(h.run(until + kLeftToOwner - 1ms).empty());
+  EXPECT_TRUE(h.run(until + kOwnerGracePeriod - 1ms).empty());
   Item over = Holder::lasting(until);
-  over.over = true;
+  over.completed = true;
   h.hear({{"a", over}});
   const auto ended = h.run(until + 1s);
   EXPECT_FALSE(ended.contains("a"));
-  EXPECT_EQ(ended.at("b"), until + kLeftToOwner);
+  EXPECT_EQ(ended.at("b"), until + kOwnerGracePeriod);
 }
 
 // One that has been silent is not waited for: what a wait would cost could be needed for the notice.
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 using copies::Copies;
+using copies::DisabledSafeguard;
 using copies::Time;
-using copies::Without;
 using namespace std::chrono_literals;
 
-CopyResult play(std::uint64_t seed, Without without = Without::nothing) {
+CopyResult play(std::uint64_t seed, DisabledSafeguard without = DisabledSafeguard::none) {
   CopyDay day = copy_day(seed, 16);
-  day.settings.without = without;
+  day.settings.disabled_safeguard = without;
   return play_copies(day);
 }
 
@@ -62,15 +62,16 @@
   }
 }
 
-class CopiesBroken : public testing::TestWithParam<Without> {};
+class CopiesBroken : public testing::TestWithParam<DisabledSafeguard> {};
 TEST_P(CopiesBroken, ASmallNumberOfDaysShowsIt) {
   std::uint64_t seed = 1;
   while (seed <= 150 && play(seed, GetParam()).rules_kept()) ++seed;
   EXPECT_LE(seed, 150U);
 }
 INSTANTIATE_TEST_SUITE_P(Parts, CopiesBroken,
-                         testing::Values(Without::intents, Without::lease, Without::majority, Without::merge,
-                                         Without::astray));
+                         testing::Values(DisabledSafeguard::replicated_intent, DisabledSafeguard::lease,
+                                         DisabledSafeguard::majority, DisabledSafeguard::vote_merge,
+                                         DisabledSafeguard::orphan_check));
 
 // ------------------------------------------------------------------------------------ one by itself
 
@@ -81,32 +82,32 @@
   std::optional<Copies> copies;
   explicit Alone(const std::string& kept = {}) { start(kept); }
   void start(const std::string& kept) {
-    copies::Self self;
-    self.seat.name = "n0";
-    self.seat.address = {1, 1};
+    copies::LocalMember self;
+    self.identity.name = "n0";
+    self.identity.address = {1, 1};
     self.machine = "m0";
     copies.emplace(settings, self, copies::read_stored(kept, {}), 7, now);
   }
   void others(std::uint32_t n, std::uint64_t life = 5) {
     std::vector<copies::Candidate> all(n);
     for (std::uint32_t i = 0; i < n; ++i) {
-      all[i].seat.name = std::string("n") + static_cast<char>('1' + i);
-      all[i].seat.life = life;
-      all[i].seat.address = {i + 2, 1};
+      all[i].identity.name = std::string("n") + static_cast<char>('1' + i);
+      all[i].identity.storage_id = life;
+      all[i].identity.address = {i + 2, 1};
       all[i].machine = std::string("m") + static_cast<char>('1' + i);
     }
-    copies->candidates(now, all);
+    copies->set_candidates(now, all);
   }
   static copies::Item item(Time until, bool once = true) {
     copies::Item i;
-    i.until = until;
+    i.deadline = until;
     i.payload = std::make_shared<const copies::Payload>(copies::Payload{"a", "c", "", "body", 1, once});
     return i;
   }
   std::vector<bool> done() {
     std::vector<bool> all;
     for (const auto& e : copies->take_events()) {
-      if (const auto* d = std::get_if<copies::Done>(&e)) all.push_back(d->good);
+      if (const auto* d = std::get_if<copies::TicketCompleted>(&e)) all.push_back(d->succeeded);
     }
     return all;
   }
@@ -115,12 +116,12 @@
 TEST(CopiesAlone, WithoutTwoOtherMachinesItRefusesOrTakesAlone) {
   Alone a;
   a.others(1);
-  EXPECT_EQ(a.copies->take(a.now, "a", Alone::item(a.now + 5s)), Copies::Taken::refused);
-  a.settings.on_shortage = copies::Shortage::accept;
+  EXPECT_EQ(a.copies->add(a.now, "a", Alone::item(a.now + 5s)), Copies::Placement::refused);
+  a.settings.on_shortage = copies::ShortagePolicy::accept;
   a.start({});
-  EXPECT_EQ(a.copies->take(a.now, "a", Alone::item(a.now + 5s)), Copies::Taken::alone);
+  EXPECT_EQ(a.copies->add(a.now, "a", Alone::item(a.now + 5s)), Copies::Placement::local_only);
   EXPECT_TRUE(a.copies->may_call(a.now, "a"));
-  a.copies->over(a.now, "a");
+  a.copies->complete(a.now, "a");
   EXPECT_FALSE(a.copies->may_call(a.now, "a"));  // what is forgotten is not called
 }
 
@@ -128,7 +129,7 @@
 TEST(CopiesAlone, WithTheSeedOfTheProcessBeforeItKeepsThatOnesGroups) {
   Alone a;
   a.others(4);
-  ASSERT_EQ(a.copies->take(a.now, "a", Alone::item(a.now + 5s)), Copies::Taken::placed);
+  ASSERT_EQ(a.copies->add(a.now, "a", Alone::item(a.now + 5s)), Copies::Placement::placed);
   const std::string kept = a.copies->snapshot({});
   a.start(kept);
   a.others(4);
@@ -136,9 +137,9 @@
   for (int i = 0; i < kMany; ++i) {
     std::string id(1, 'b');
     id += std::to_string(i);
-    EXPECT_EQ(a.copies->take(a.now, id, Alone::item(a.now + 5s)), Copies::Taken::placed);
+    EXPECT_EQ(a.copies->add(a.now, id, Alone::item(a.now + 5s)), Copies::Placement::placed);
   }
-  const copies::Stored stored = copies::read_stored(kept + a.copies->take_records({}), {});
+  const copies::StoredState stored = copies::read_stored(kept + a.copies->take_records({}), {});
   ASSERT_FALSE(stored.damaged);
   const auto has_it = [](const auto& group) { return group.second.durable.items.contains("a"); };
   EXPECT_TRUE(std::ranges::any_of(stored.groups, has_it));
@@ -151,13 +152,13 @@
   Alone a;
   a.others(4);
   const Time until = a.now + 5s;
-  ASSERT_EQ(a.copies->take(a.now, "a", Alone::item(until)), Copies::Taken::placed);
+  ASSERT_EQ(a.copies->add(a.now, "a", Alone::item(until)), Copies::Placement::placed);
   const std::string file = a.copies->snapshot(1000h, kBoot);
   const auto kept_until = [&](copies::Duration wall, std::uint64_t boot) {
-    const copies::Stored stored = copies::read_stored(file, wall, boot);
+    const copies::StoredState stored = copies::read_stored(file, wall, boot);
     EXPECT_FALSE(stored.damaged);
-    EXPECT_EQ(stored.wall.has_value(), boot == kBoot);
-    return stored.groups.begin()->second.durable.items.at("a").until;
+    EXPECT_EQ(stored.wall_offset.has_value(), boot == kBoot);
+    return stored.groups.begin()->second.durable.items.at("a").deadline;
   };
   for (const copies::Duration set : {-1h, 0h, 1h}) EXPECT_EQ(kept_until(1000h + set, kBoot), until);
   EXPECT_EQ(kept_until(1001h, kBoot + 1), until - 1h)
@@ -167,18 +168,18 @@
 TEST(CopiesAlone, SilentHoldersAreLeftOutAndOthersTaken) {
   Alone a;
   a.others(4);
-  EXPECT_EQ(a.copies->take(a.now, "a", Alone::item(a.now + 5s)), Copies::Taken::placed);
-  a.copies->attempt(a.now, "a", {"host", "zone"});
+  EXPECT_EQ(a.copies->add(a.now, "a", Alone::item(a.now + 5s)), Copies::Placement::placed);
+  a.copies->add_attempt(a.now, "a", {"host", "zone"});
   EXPECT_FALSE(a.copies->may_call(a.now, "a"));
-  a.copies->await(a.now, {"a"}, Copies::Need::promise);
+  a.copies->wait_for(a.now, {"a"}, Copies::Requirement::acceptance);
   a.copies->flush(a.now);
   const auto first = a.copies->take_frames();
   ASSERT_EQ(first.size(), 2U);
-  a.now += a.settings.answer_within;
+  a.now += a.settings.answer_timeout;
   a.copies->wake(a.now);
   EXPECT_EQ(a.done(), std::vector<bool>{false});
   // Nobody of the first group is asked again for the next message.
-  EXPECT_EQ(a.copies->take(a.now, "b", Alone::item(a.now + 5s)), Copies::Taken::placed);
+  EXPECT_EQ(a.copies->add(a.now, "b", Alone::item(a.now + 5s)), Copies::Placement::placed);
   a.copies->take_frames();
   a.copies->flush(a.now);
   for (const auto& frame : a.copies->take_frames()) {
@@ -192,13 +193,13 @@
   Alone a;
   a.others(2);
   const Time until = a.now + 5s;
-  a.copies->take(a.now, "a", Alone::item(until));
+  a.copies->add(a.now, "a", Alone::item(until));
   for (const copies::Duration before : {500ms, 10ms, 0ms, -50ms}) {
     a.now = until - before;
-    a.copies->owe(a.now, "a", {true, {}});
-    a.copies->await(a.now, {"a"}, Copies::Need::tell);
+    a.copies->set_pending_notice(a.now, "a", {true, {}});
+    a.copies->wait_for(a.now, {"a"}, Copies::Requirement::notice);
     a.copies->flush(a.now);
-    const Time told = std::max(a.now, std::min(a.now + a.settings.answer_within, until + 50ms));
+    const Time told = std::max(a.now, std::min(a.now + a.settings.answer_timeout, until + 50ms));
     EXPECT_TRUE(a.now == told || a.copies->next_wake() <= told) << before / 1ms;
     a.now = told;
     a.copies->wake(a.now);
@@ -209,52 +210,52 @@
 TEST(CopiesAlone, AFolderKeepsGroupsAndALostOneIsAnotherLife) {
   Alone a;
   a.others(3);
-  a.copies->take(a.now, "a", Alone::item(a.now + 5s));
+  a.copies->add(a.now, "a", Alone::item(a.now + 5s));
   a.copies->flush(a.now);
   const std::string file = a.copies->snapshot({});
   Alone again(file);
-  EXPECT_EQ(again.copies->life(), a.copies->life());
-  ASSERT_NE(again.copies->look("a"), nullptr);
-  EXPECT_FALSE(again.copies->is_own("a"));  // until others have said so
+  EXPECT_EQ(again.copies->storage_id(), a.copies->storage_id());
+  ASSERT_NE(again.copies->find("a"), nullptr);
+  EXPECT_FALSE(again.copies->is_owner("a"));  // until others have said so
   EXPECT_FALSE(again.copies->may_call(again.now, "a"));
-  EXPECT_NE(Alone().copies->look("a"), again.copies->look("a"));
+  EXPECT_NE(Alone().copies->find("a"), again.copies->find("a"));
 
   // Torn at every byte: what is whole counts. Spoilt before its end: nothing of it does.
   for (std::size_t n = 0; n < file.size(); ++n) {
-    const copies::Stored torn = copies::read_stored(file.substr(0, n), {});
+    const copies::StoredState torn = copies::read_stored(file.substr(0, n), {});
     EXPECT_FALSE(torn.damaged) << n;
-    EXPECT_LE(torn.bytes, n);
+    EXPECT_LE(torn.valid_bytes, n);
   }
   std::string spoilt = file;
   spoilt[file.size() / 2] = static_cast<char>(spoilt[file.size() / 2] ^ 1);
-  const copies::Stored read = copies::read_stored(spoilt, {});
-  EXPECT_TRUE(read.damaged || read.bytes < file.size());
+  const copies::StoredState read = copies::read_stored(spoilt, {});
+  EXPECT_TRUE(read.damaged || read.valid_bytes < file.size());
 }
 
 TEST(CopiesAlone, OneThatHasLostItsFolderJoinsNoOldGroup) {
   Alone a;
   a.others(2, 5);  // the life that they have by now is another one
-  a.copies->take(a.now, "a", Alone::item(a.now + 5s));
+  a.copies->add(a.now, "a", Alone::item(a.now + 5s));
   a.copies->flush(a.now);
   const auto frames = a.copies->take_frames();
   ASSERT_EQ(frames.size(), 2U);
-  copies::Self self;
-  self.seat.name = frames[0].to.name;
-  self.seat.address = frames[0].to.address;
+  copies::LocalMember self;
+  self.identity.name = frames[0].to.name;
+  self.identity.address = frames[0].to.address;
   self.machine = "m1";
   Copies holder({}, self, {}, 3, a.now);
   myrtlegrade::Reader in(frames[0].frame);
   const auto frame = copies::decode_frame(*in.record());
   ASSERT_TRUE(frame);
   holder.receive(a.now, "n0", *frame);
-  EXPECT_EQ(holder.look("a"), nullptr);
+  EXPECT_EQ(holder.find("a"), nullptr);
   EXPECT_EQ(holder.take_frames().size(), 1U);  // says that it does not know the group
 }
 
 TEST(CopiesFrames, WhatIsCutLongerOrOfALaterVersionIsNotRead) {
   Alone a;
   a.others(2);
-  a.copies->take(a.now, "a", Alone::item(a.now + 5s));
+  a.copies->add(a.now, "a", Alone::item(a.now + 5s));
   a.copies->flush(a.now);
   const std::string record = a.copies->take_frames().front().frame;
   const std::string bytes = record.substr(myrtlegrade::kRecordHeader);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -274,10 +274,10 @@
 // A holder: what it has acknowledged is there, or it is another life, which knows nothing and claims nothing.
 TEST(PowerLoss, WhatAHolderAcknowledgedIsThereOrItIsAnotherOne) {
   const copies::GroupId group{"n1", 7};
-  copies::Head head;
-  head.seats[0].name = "n1";
-  head.seats[1].name = "n0";
-  head.seats[2].name = "n2";
+  copies::GroupConfig head;
+  head.members[0].name = "n1";
+  head.members[1].name = "n0";
+  head.members[2].name = "n2";
   constexpr std::uint64_t kLife = 99;
   std::uint64_t cuts = 0, kept = 0;
   for (std::uint64_t at = 1; at < 140; ++at) {
@@ -287,23 +287,23 @@
       std::uint64_t acknowledged = 0, promised = 1;
       std::map<std::string, copies::Item> items;
       const auto snapshot = [&] {
-        std::string all = copies::record_of_format(kLife, "n0") + copies::record_of(group, head, 1) +
-                          copies::record_of(group, promised, 0);
-        for (const auto& [id, item] : items) all += copies::record_of(group, id, item, {});
+        std::string all = copies::format_record(kLife, "n0") + copies::group_record(group, head, 1) +
+                          copies::promise_record(group, promised, 0);
+        for (const auto& [id, item] : items) all += copies::item_record(group, id, item, {});
         return all;
       };
       try {
         CopiesFile file(disk, "n0", 40'000, Durability::power, {});
         for (std::uint64_t n = 1; n <= 60; ++n) {
           copies::Item item;
-          item.stamp = {1, n};
+          item.version = {1, n};
           item.payload = std::make_shared<const copies::Payload>(
               copies::Payload{"m", "c", "", std::string(700, 'x'), 1, true});
           const std::string id(1, static_cast<char>('a' + n % 8));
           items[id] = item;
           promised = n + 1;
-          ASSERT_TRUE(file.append(copies::record_of(group, n + 1, 0) + copies::record_of(group, id, item, {}),
-                                  snapshot));
+          ASSERT_TRUE(file.append(
+              copies::promise_record(group, n + 1, 0) + copies::item_record(group, id, item, {}), snapshot));
           const std::uint64_t size = file.size();
           if (!file.sync_later()()) break;
           file.synced(size);
@@ -314,12 +314,12 @@
       std::mt19937 engine(static_cast<unsigned>(at * 8 + outcome));
       disk.lose_power([&](std::uint32_t below) { return static_cast<std::uint32_t>(engine() % below); });
       CopiesFile again(disk, "n0", 40'000, Durability::power, {});
-      const copies::Stored stored = again.take();
+      const copies::StoredState stored = again.take();
       ++cuts;
       if (acknowledged == 0) continue;
-      ASSERT_EQ(stored.life, kLife) << "operation " << at << ", outcome " << outcome;
+      ASSERT_EQ(stored.storage_id, kLife) << "operation " << at << ", outcome " << outcome;
       ++kept;
-      EXPECT_GE(stored.groups.at(group).durable.promised, acknowledged + 1) << "operation " << at;
+      EXPECT_GE(stored.groups.at(group).durable.promised_epoch, acknowledged + 1) << "operation " << at;
     }
   }
   EXPECT_GT(kept, cuts / 2);
@@ -329,15 +329,15 @@
   {
     CopiesFile file(disk, "n0", 100'000, Durability::power, {});
     for (std::uint64_t n = 1; n <= 8; ++n) {
-      ASSERT_TRUE(file.append(copies::record_of(group, n + 1, 0), [&] {
-        return copies::record_of_format(kLife, "n0") + copies::record_of(group, head, 1);
+      ASSERT_TRUE(file.append(copies::promise_record(group, n + 1, 0), [&] {
+        return copies::format_record(kLife, "n0") + copies::group_record(group, head, 1);
       }));
       ASSERT_TRUE(file.sync_later()());
       file.synced(file.size());
     }
   }
   disk.flip("copies", disk.size("copies") / 2);
-  EXPECT_EQ(CopiesFile(disk, "n0", 100'000, Durability::power, {}).take().life, 0U);
+  EXPECT_EQ(CopiesFile(disk, "n0", 100'000, Durability::power, {}).take().storage_id, 0U);
 }
 
 }  // namespace
