--- a/lab/drive_fleet.cpp
+++ b/lab/drive_fleet.cpp
@@ -55,10 +55,10 @@
                       {"advertise", at(twin ? address(341) : reached_at(place))},
                       {"machine", "m" + std::to_string(place)},
                       {"seeds", std::move(seeds)},
-                      {"probe_ms", s.probe_every / 1ms},
-                      {"ack_ms", s.ack_within / 1ms},
-                      {"reconnect_s", std::max<std::int64_t>(1, s.reconnect_most / 1s)},
-                      {"tombstone_s", s.tombstone / 1s}};
+                      {"probe_ms", s.probe_interval / 1ms},
+                      {"ack_ms", s.ack_timeout / 1ms},
+                      {"reconnect_s", std::max<std::int64_t>(1, s.max_reconnect_interval / 1s)},
+                      {"tombstone_s", s.tombstone_retention / 1s}};
   if (!options_.without.empty()) config["without"] = options_.without;
   return config;
 }
--- a/lab/fleet_search.cpp
+++ b/lab/fleet_search.cpp
@@ -76,7 +76,7 @@
   o.settings = search.settings;
   o.seeds = 1 + random.below(3);
   o.start_within = random.chance(0.5) ? 0 : random.unit() * 20;
-  if (random.chance(0.5)) o.settings.tombstone = o.settings.probe_every * 60;
+  if (random.chance(0.5)) o.settings.tombstone_retention = o.settings.probe_interval * 60;
   return o;
 }
 
--- a/lab/fleet_world.cpp
+++ b/lab/fleet_world.cpp
@@ -122,7 +122,7 @@
     Node& n = nodes_[number];
     if (n.m) return;
     ++n.start;
-    n.kept = options_.settings.without == fleet::Without::incarnation ? 1 : n.kept + 1;
+    n.kept = options_.settings.disabled_safeguard == fleet::DisabledSafeguard::incarnation ? 1 : n.kept + 1;
     fleet::Record self;
     self.name = n.name;
     self.machine = "m" + std::to_string(number);
@@ -185,11 +185,13 @@
   // ---------------------------------------------------------------------------------- the network
   void flush(Node& n) {
     if (!n.m) return;
-    n.kept = options_.settings.without == fleet::Without::incarnation ? 1 : n.m->incarnation();
+    n.kept = options_.settings.disabled_safeguard == fleet::DisabledSafeguard::incarnation
+                 ? 1
+                 : n.m->incarnation();
     const std::uint32_t from = number(n);
     for (fleet::Datagram& d : n.m->take_datagrams()) send(from, std::move(d));
-    for (fleet::Ask& a : n.m->take_asks()) ask(from, std::move(a));
-    for (const fleet::Change& c : n.m->take_changes()) observe(n, c);
+    for (fleet::StreamRequest& a : n.m->take_stream_requests()) ask(from, std::move(a));
+    for (const fleet::ViewEvent& c : n.m->take_view_events()) observe(n, c);
     const Time wake = std::max(now_, here(n.m->next_wake()));
     if (wake == n.wake) return;
     n.wake = wake;
@@ -242,7 +244,7 @@
     Node& n = nodes_[to];
     const auto sender = whose(from);
     const fleet::Table::Entry* e = sender ? n.m->others().find(nodes_[*sender].name) : nullptr;
-    const bool stranger = !e || !e->proven || e->record.address != from;
+    const bool stranger = !e || !e->address_verified || e->record.address != from;
     n.m->receive(there(now_), from, bytes);
     if (!stranger) return;
     std::size_t answered = 0;
@@ -256,14 +258,14 @@
 
   // A stream: there, and back. What is lost on it is found by time alone; a machine without the process
   // refuses.
-  void ask(std::uint32_t from, fleet::Ask a) {
+  void ask(std::uint32_t from, fleet::StreamRequest a) {
     ++frames_;
     frame_bytes_ += a.frame.size();
     const unsigned start = nodes_[from].start;
     const auto fail = [this, from, start, token = a.token](Duration after) {
       at(now_ + after, [this, from, start, token] {
         if (!up(from) || nodes_[from].start != start) return;
-        hear(from, [this, from, token] { nodes_[from].m->unanswered(there(now_), token); });
+        hear(from, [this, from, token] { nodes_[from].m->on_request_failed(there(now_), token); });
       });
     };
     const auto to = whose(a.to);
@@ -284,7 +286,7 @@
       if (links_.cut(place(to), place(from))) return fail(kStreamWithin);
       at(now_ + way, [this, from, start, token = a.token, reply] {
         if (!up(from) || nodes_[from].start != start) return;
-        hear(from, [this, from, token, reply] { nodes_[from].m->answered(there(now_), token, reply); });
+        hear(from, [this, from, token, reply] { nodes_[from].m->on_response(there(now_), token, reply); });
       });
     };
     at(now_ + way * 3, [this, to = *to, serve, fail] {  // connected, and the frame
@@ -307,24 +309,24 @@
   }
 
   // --------------------------------------------------------------------------------------- checks
-  void observe(Node& n, const fleet::Change& c) {
-    if (options_.log) log(n.name + " sees " + (c.name.empty() ? "" : c.name + " ") + c.what);
-    if (c.name.empty() || c.name == n.name) {
-      if (c.what.starts_with("CONFLICT")) conflict_seen_.insert(number(n));
-      if (c.what.starts_with("away for")) n.buried.clear();  // it begins as after a start
+  void observe(Node& n, const fleet::ViewEvent& c) {
+    if (options_.log) log(n.name + " sees " + (c.member.empty() ? "" : c.member + " ") + c.description);
+    if (c.member.empty() || c.member == n.name) {
+      if (c.description.starts_with("CONFLICT")) conflict_seen_.insert(number(n));
+      if (c.description.starts_with("away for")) n.buried.clear();  // it begins as after a start
       return;
     }
-    if (c.what.starts_with("CONFLICT")) conflict_seen_.insert(number(n));
-    const auto target = static_cast<std::uint32_t>(std::stoul(c.name.substr(1)));
-    const bool dies = c.what.starts_with("dead");
+    if (c.description.starts_with("CONFLICT")) conflict_seen_.insert(number(n));
+    const auto target = static_cast<std::uint32_t>(std::stoul(c.member.substr(1)));
+    const bool dies = c.description.starts_with("dead");
     const std::uint32_t from = place(number(n)), to = place(target);
     const bool runs = up(target) && !nodes_[target].stalled && now_ - nodes_[target].ran_from > 1s &&
                       !links_.cut(from, to) && !links_.cut(to, from);
-    if (c.what.starts_with("suspect") && runs) ++result_.false_suspicions;
+    if (c.description.starts_with("suspect") && runs) ++result_.false_suspicions;
     if (dies && runs) {
       ++result_.false_deaths;
       if (options_.no_false_deaths)
-        broken(FleetRule::false_death, n.name + " buries " + c.name + ": " + c.what);
+        broken(FleetRule::false_death, n.name + " buries " + c.member + ": " + c.description);
     }
     if (dies && first_killed_ == target && !up(target)) {
       known_.insert(number(n));
@@ -336,24 +338,24 @@
       if (result_.known_by_all < 0 && static_cast<double>(known_.size()) >= others)
         result_.known_by_all = after;
     }
-    const fleet::Table::Entry* e = n.m->others().find(c.name);
+    const fleet::Table::Entry* e = n.m->others().find(c.member);
     if (dies) {
-      n.buried[c.name] = {e ? e->record.stamp : last_stamp(n, c.name), now_};
+      n.buried[c.member] = {e ? e->record.stamp : last_stamp(n, c.member), now_};
     } else if (e && !fleet::is_gone(e->record.state)) {
-      const auto found = n.buried.find(c.name);
+      const auto found = n.buried.find(c.member);
       if (found != n.buried.end() && e->record.stamp <= found->second.first &&
-          now_ - found->second.second < Duration(options_.settings.tombstone) * 3 / 4) {
-        broken(FleetRule::revived, n.name + " sees " + c.name + " again: " + c.what);
+          now_ - found->second.second < Duration(options_.settings.tombstone_retention) * 3 / 4) {
+        broken(FleetRule::revived, n.name + " sees " + c.member + " again: " + c.description);
       }
     }
-    if (e) stamps_[n.name + c.name] = e->record.stamp;
+    if (e) stamps_[n.name + c.member] = e->record.stamp;
   }
 
   fleet::Stamp last_stamp(const Node& n, const std::string& name) { return stamps_[n.name + name]; }
 
   // Of two with one name, the one that has given way.
   bool looks_on(std::uint32_t i) const {
-    return (i == twin() || static_cast<int>(i) == twin_of_) && nodes_[i].m->yielded();
+    return (i == twin() || static_cast<int>(i) == twin_of_) && nodes_[i].m->is_observer();
   }
 
   // Whether all that run hold the same view, and the true one.
@@ -368,7 +370,8 @@
     for (std::uint32_t i = 0; i < nodes_.size(); ++i) {
       const Node& n = nodes_[i];
       if (!n.m || looks_on(i)) continue;
-      if (n.stalled || !n.m->settled() || n.m->others().live() + 1 != running || n.m->others().suspects() > 0)
+      if (n.stalled || !n.m->joined() || n.m->others().live_count() + 1 != running ||
+          n.m->others().suspect_count() > 0)
         return false;
       if (first && first->digest() != n.m->digest()) return false;
       first = &*n.m;
@@ -413,9 +416,10 @@
         const fleet::Table::Entry* e = n.m->others().find(o.name);
         missing += !e || fleet::is_gone(e->record.state) || e->record.stamp != o.m->self().stamp ? 1 : 0;
       }
-      if (missing == 0 && n.m->others().suspects() == 0 && n.m->settled()) continue;
+      if (missing == 0 && n.m->others().suspect_count() == 0 && n.m->joined()) continue;
       all += (all.empty() ? "" : "; ") + n.name + ": " + std::to_string(missing) + " not as they are, " +
-             std::to_string(n.m->others().suspects()) + " suspect" + (n.m->settled() ? "" : ", not joined");
+             std::to_string(n.m->others().suspect_count()) + " suspect" +
+             (n.m->joined() ? "" : ", not joined");
     }
     return all.empty() ? "others that are not there" : all;
   }
@@ -425,7 +429,7 @@
   std::string twin_trouble() const {
     if (twin_of_ < 0 || !up(twin()) || !up(static_cast<std::uint32_t>(twin_of_))) return {};
     const fleet::Membership &a = *nodes_[twin()].m, &b = *nodes_[static_cast<std::size_t>(twin_of_)].m;
-    if (a.settled() == b.settled()) return a.settled() ? "both hold the name" : "neither holds the name";
+    if (a.joined() == b.joined()) return a.joined() ? "both hold the name" : "neither holds the name";
     for (std::uint32_t n = 0; n < nodes_.size(); ++n) {
       if (up(n) && !conflict_seen_.contains(n)) return nodes_[n].name + " has not heard of the conflict";
     }
@@ -537,19 +541,19 @@
 membership::Settings fleet_settings(unsigned probe_ms) {
   membership::Settings s;
   s.fleet = "driven";
-  s.probe_every = std::chrono::milliseconds(probe_ms);
-  s.ack_within = s.probe_every / 2;
-  s.reconnect_most = s.probe_every * 30;
-  s.tombstone = s.probe_every * 600;
+  s.probe_interval = std::chrono::milliseconds(probe_ms);
+  s.ack_timeout = s.probe_interval / 2;
+  s.max_reconnect_interval = s.probe_interval * 30;
+  s.tombstone_retention = s.probe_interval * 600;
   return s;
 }
 
 // Two rounds in which what is lost is tried, a suspicion in full by a member in half doubt of itself, and
 // some periods for news and repair.
 double settle_bound(const membership::Settings& s, std::size_t members) {
-  const double probe = static_cast<double>(s.probe_every.count()) / 1e6;
+  const double probe = static_cast<double>(s.probe_interval.count()) / 1e6;
   const double grows = std::max(3.0, std::log2(static_cast<double>(members) + 1));
-  return 2.5 * static_cast<double>(s.reconnect_most.count()) / 1e6 + probe * (10 + 9 * grows);
+  return 2.5 * static_cast<double>(s.max_reconnect_interval.count()) / 1e6 + probe * (10 + 9 * grows);
 }
 
 FleetResult play_fleet(const Day& day, const FleetOptions& options) { return FleetWorld(day, options).run(); }
--- a/lab/scale/figures_of.cpp
+++ b/lab/scale/figures_of.cpp
@@ -94,7 +94,7 @@
       for (std::size_t k = 0; k < kKinds; ++k) {
         const double n = m.at("sent").at(k).to_number<double>();
         const double b = m.at("sent_bytes").at(k).to_number<double>();
-        if (k < static_cast<std::size_t>(membership::Kind::pull)) sent += n;
+        if (k < static_cast<std::size_t>(membership::MessageKind::pull)) sent += n;
         sent_bytes += b;
         kinds[k] += n;
         kind_bytes[k] += b;
--- a/lab/scale/hollow.cpp
+++ b/lab/scale/hollow.cpp
@@ -18,7 +18,7 @@
 
 using asio::ip::tcp;
 using asio::ip::udp;
-using membership::Kind;
+using membership::MessageKind;
 using myrtlegrade::framed;
 using myrtlegrade::read_frame;
 using myrtlegrade::spawn;
@@ -57,8 +57,8 @@
 
 void add(membership::Counters& to, const membership::Counters& c) {
   to.probes += c.probes;
-  to.unanswered += c.unanswered;
-  to.asked_others += c.asked_others;
+  to.failed_probes += c.failed_probes;
+  to.indirect_probe_requests += c.indirect_probe_requests;
   to.suspicions += c.suspicions;
   to.refutations += c.refutations;
   to.deaths += c.deaths;
@@ -100,19 +100,19 @@
   const Plan& plan = host_.plan();
   membership::Time at = now();
   membership::Message news;  // all others, as one that has met them tells it
-  news.kind = Kind::push;
+  news.kind = MessageKind::push;
   news.fleet = plan.settings().fleet;
   news.sender = "warm";
   std::vector<std::string> others = host_.records();
   others.erase(others.begin() + number_);
   members_->serve(at, encode(news, others));
-  const auto quiet = [&] { return members_->settled() && !members_->others().to_pass_on(); };
+  const auto quiet = [&] { return members_->joined() && !members_->others().has_pending_updates(); };
   const auto answer = [&](const membership::Datagram& d) {
-    if (static_cast<Kind>(d.bytes[3]) != Kind::ping) return;
+    if (static_cast<MessageKind>(d.bytes[3]) != MessageKind::ping) return;
     const auto read = membership::decode(d.bytes, members_->self().name.size() + (1U << 16));
     const auto& ping = std::get<membership::Message>(read);
     membership::Message ack;
-    ack.kind = Kind::ack;
+    ack.kind = MessageKind::ack;
     ack.fleet = ping.fleet;
     ack.sender = ack.target = ping.target;
     ack.nonce = ping.nonce;
@@ -124,17 +124,17 @@
   };
   // Two more periods after the last news, for its own record.
   for (membership::Time until = membership::Time::max(); at < until;) {
-    for (const membership::Ask& a : members_->take_asks()) {
+    for (const membership::StreamRequest& a : members_->take_stream_requests()) {
       membership::Message view;
-      view.kind = Kind::view;
+      view.kind = MessageKind::view;
       view.fleet = news.fleet;
       view.sender = news.sender;
       view.nonce = a.token;
-      members_->answered(at, a.token, encode(view));
+      members_->on_response(at, a.token, encode(view));
     }
     for (const membership::Datagram& d : members_->take_datagrams()) answer(d);
-    members_->take_changes();
-    if (quiet() && until == membership::Time::max()) until = at + plan.settings().probe_every * 2;
+    members_->take_view_events();
+    if (quiet() && until == membership::Time::max()) until = at + plan.settings().probe_interval * 2;
     at = std::max(at, members_->next_wake());
     members_->wake(at);
   }
@@ -192,13 +192,16 @@
 }
 
 View Hollow::view() const {
-  View view{members_->others().live(), members_->others().suspects(),
-            members_->digest(),        members_->settled(),
-            members_->doubt(),         {}};
+  View view{members_->others().live_count(),
+            members_->others().suspect_count(),
+            members_->digest(),
+            members_->joined(),
+            members_->local_health_score(),
+            {}};
   for (const auto& [name, entry] : members_->others().entries()) {
     const membership::Record& record = entry.record;
     if (record.state < membership::State::suspect) continue;
-    view.not_alive.push_back({name, record.state, now() - entry.since, record.accusers.size()});
+    view.not_alive.push_back({name, record.state, now() - entry.state_since, record.accusers.size()});
   }
   return view;
 }
@@ -239,16 +242,16 @@
     count(d.bytes, &d.to);
     host_.send(shared_from_this(), number_, std::move(d));
   }
-  for (membership::Ask& a : members_->take_asks()) {
+  for (membership::StreamRequest& a : members_->take_stream_requests()) {
     count(a.frame, &a.to);
     spawn(host_.context().get_executor(), ask(std::move(a)));
   }
-  members_->take_changes();
+  members_->take_view_events();
   const membership::Table& others = members_->others();
-  const bool changed = others.live() != live_ || others.suspects() != suspects_;
+  const bool changed = others.live_count() != live_ || others.suspect_count() != suspects_;
   if (changed) {
-    live_ = others.live();
-    suspects_ = others.suspects();
+    live_ = others.live_count();
+    suspects_ = others.suspect_count();
     figures_.view_at = seconds(host_.at());
   }
   arm();
@@ -342,7 +345,7 @@
   served_.remove(stream);
 }
 
-asio::awaitable<void> Hollow::ask(membership::Ask a) {
+asio::awaitable<void> Hollow::ask(membership::StreamRequest a) {
   const auto self = shared_from_this();
   const unsigned start = start_;
   asio::steady_timer way(host_.context());
@@ -374,9 +377,9 @@
   const Spent spent(*this);
   if (reply) {
     figures_.received_bytes += reply->size();
-    members_->answered(now(), a.token, *reply);
+    members_->on_response(now(), a.token, *reply);
   } else {
-    members_->unanswered(now(), a.token);
+    members_->on_request_failed(now(), a.token);
   }
   turn();
 }
--- a/lab/scale/hollow.h
+++ b/lab/scale/hollow.h
@@ -21,7 +21,7 @@
 
 class Host;
 
-inline constexpr std::size_t kKinds = 9;  // of messages between members, as membership::Kind has them
+inline constexpr std::size_t kKinds = 9;  // of messages between members, as membership::MessageKind has them
 inline constexpr std::uint32_t kPublishedFormat = 999;  // known to none of the parts that build on the view
 
 // What one member did in one phase of the day. Bytes are those of datagrams and frames, without the headers
@@ -88,7 +88,7 @@
   void count(std::string_view bytes, const membership::Address* to = nullptr);
   boost::asio::awaitable<void> accept();
   boost::asio::awaitable<void> serve(Stream stream);
-  boost::asio::awaitable<void> ask(membership::Ask ask);
+  boost::asio::awaitable<void> ask(membership::StreamRequest ask);
   void watch();
 
   Host& host_;
--- a/lab/scale/host.cpp
+++ b/lab/scale/host.cpp
@@ -213,7 +213,7 @@
                           {"resident", resident_bytes(::getpid()) - resident_},
                           {"counters",
                            {{"probes", counters.probes},
-                            {"unanswered", counters.unanswered},
+                            {"unanswered", counters.failed_probes},
                             {"suspicions", counters.suspicions},
                             {"refutations", counters.refutations},
                             {"deaths", counters.deaths},
--- a/lab/scale/scale_day.cpp
+++ b/lab/scale/scale_day.cpp
@@ -30,8 +30,8 @@
 
 membership::Settings settings_of(const DaySpec& d) {
   membership::Settings s = fleet_settings(d.fleet.probe_ms);
-  s.reconnect_most = span(d.fleet.reconnect);
-  s.tombstone = span(d.fleet.tombstone);
+  s.max_reconnect_interval = span(d.fleet.reconnect);
+  s.tombstone_retention = span(d.fleet.tombstone);
   return s;
 }
 
@@ -47,7 +47,7 @@
   v("processes", f.processes, Bounds{0, 64});
   v("start", f.start);
   v("start_within", f.start_within, Bounds{0, 60});
-  v("published", f.published, Bounds{0, membership::kMostPublished});
+  v("published", f.published, Bounds{0, membership::kMaxPublishedBytes});
   v("probe_ms", f.probe_ms, Bounds{50, 60000});
   v("reconnect", f.reconnect, Bounds{0.05, 3600});
   v("tombstone", f.tombstone, Bounds{3, 86400});
--- a/lab/tool_fleet.cpp
+++ b/lab/tool_fleet.cpp
@@ -13,11 +13,12 @@
 namespace {
 
 namespace json = boost::json;
-using membership::Without;
+using membership::DisabledSafeguard;
 
-void add_without(CLI::App& sub, Without& without) {
-  std::map<std::string, Without> all;
-  for (const membership::WithoutName& n : membership::kWithoutNames) all.emplace(n.name, n.without);
+void add_without(CLI::App& sub, DisabledSafeguard& without) {
+  std::map<std::string, DisabledSafeguard> all;
+  for (const membership::DisabledSafeguardName& n : membership::kDisabledSafeguardNames)
+    all.emplace(n.name, n.disabled_safeguard);
   sub.add_option("--without", without, "Break the protocol on purpose, to see that it is noticed")
       ->transform(CLI::CheckedTransformer(std::move(all), CLI::ignore_case))
       ->type_name("PART");
@@ -64,10 +65,10 @@
     if (seconds > 0) s.seconds = seconds;
     check(s);
     std::ofstream file = open_output(log);
-    const Without without = options.settings.without;
+    const DisabledSafeguard without = options.settings.disabled_safeguard;
     options.settings = fleet_settings(probe_ms);
-    options.settings.without = without;
-    if (tombstone > 0) options.settings.tombstone = Duration(span(tombstone));
+    options.settings.disabled_safeguard = without;
+    if (tombstone > 0) options.settings.tombstone_retention = Duration(span(tombstone));
     if (search_seed > 0) {  // as the search has drawn them
       FleetSearchOptions all;
       all.settings = options.settings;
@@ -75,7 +76,7 @@
       const FleetOptions drawn = fleet_options(all, seed);
       options.seeds = drawn.seeds;
       options.start_within = drawn.start_within;
-      options.settings.tombstone = drawn.settings.tombstone;
+      options.settings.tombstone_retention = drawn.settings.tombstone_retention;
     }
     options.stop = &stopped;
     options.progress = show_progress;
@@ -132,7 +133,7 @@
   std::vector<double> losses{0};
   std::uint32_t seeds = 3;
   unsigned jobs = std::max(1U, std::thread::hardware_concurrency());
-  Without without = Without::nothing;
+  DisabledSafeguard without = DisabledSafeguard::none;
 
   Scenario day(std::uint32_t n, double loss) const {
     std::string fault;
@@ -160,7 +161,7 @@
       Row& row = rows[i / seeds];
       FleetOptions o;
       o.stop = &stopped;
-      o.settings.without = without;
+      o.settings.disabled_safeguard = without;
       o.to_the_end = what == "rest";
       row.results[i % seeds] = play_fleet(draw(day(row.n, row.loss), 1 + i % seeds), o);
     });
@@ -218,7 +219,7 @@
   run->add_flag("--to-the-end", one->options.to_the_end, "Go on after the view has settled");
   run->add_flag("--no-false-deaths", one->options.no_false_deaths, "Burying one that runs breaks a rule");
   run->add_option("--log", one->log, "Write what each member sees, a line each");
-  add_without(*run, one->options.settings.without);
+  add_without(*run, one->options.settings.disabled_safeguard);
   run->callback([one, &status] { status = (*one)(); });
 
   CLI::App* search = sub->add_subcommand("search", "Seek a day on which the view does not settle");
@@ -232,7 +233,7 @@
   search->add_option("--jobs", seek->options.jobs, "Days side by side")->check(CLI::Range(1, 1024));
   search->add_option("--out", seek->out, "Scenario file that reproduces it")->capture_default_str();
   search->add_flag("--until-broken", seek->options.until_broken, "Stop at the first broken rule");
-  add_without(*search, seek->options.settings.without);
+  add_without(*search, seek->options.settings.disabled_safeguard);
   search->callback([seek, &status] { status = (*seek)(); });
 
   CLI::App* sweep = sub->add_subcommand("sweep", "How times and traffic grow with the fleet");
--- a/membership/membership.h
+++ b/membership/membership.h
@@ -16,8 +16,8 @@
 // that some of us could not reach it for a while, not that it does nothing. In a cut each part holds the
 // other for dead, also the smaller one. So a caller must not take a death for leave to do what only one may
 // do: that wants a majority of a group named before, with epochs and leases; here it learns whom to ask.
-// Under a cut it reads `reach()`, which counts the dead of the last ten minutes as lost, and holds back what
-// a minority must not do.
+// Under a cut it reads `reachability()`, which counts the dead of the last ten minutes as lost, and holds
+// back what a minority must not do.
 #pragma once
 
 #include <array>
@@ -42,32 +42,32 @@
   std::string bytes;
 };
 
-// A frame to send on a stream of its own; the answer goes to answered(), whatever ends it without one to
-// unanswered().
-struct Ask {
+// A frame to send on a stream of its own; the answer goes to on_response(), whatever ends it without one to
+// on_request_failed().
+struct StreamRequest {
   std::uint64_t token = 0;
   Address to;
   std::string frame;
 };
 
-struct Change {
-  std::string name;
-  std::string what;  // one line with the evidence, for the log
+struct ViewEvent {
+  std::string member;
+  std::string description;  // one line with the evidence, for the log
 };
 
 struct Counters {
-  std::uint64_t probes = 0, unanswered = 0, asked_others = 0;
+  std::uint64_t probes = 0, failed_probes = 0, indirect_probe_requests = 0;
   std::uint64_t suspicions = 0, refutations = 0, deaths = 0;
   std::uint64_t exchanges = 0, failed_exchanges = 0;
   std::uint64_t stalls = 0;
-  std::array<std::uint64_t, kDrops> dropped{};
+  std::array<std::uint64_t, kDropReasons> dropped{};
 };
 
 // How much of the fleet this member can reach: of all that are there or were lost within `tombstone`.
-struct Reach {
+struct Reachability {
   std::size_t reachable = 1, known = 1;  // with itself
-  std::optional<Time> lessened;          // since when some are missing
-  std::optional<Time> minority;          // since when it is half of them or less
+  std::optional<Time> reduced_since;     // since when some are missing
+  std::optional<Time> minority_since;    // since when it is half of them or less
   double share() const { return static_cast<double>(reachable) / static_cast<double>(known); }
 };
 
@@ -81,34 +81,34 @@
   void receive(Time now, const Address& from, std::string_view datagram);
   // The answer to a frame that came by a stream; empty: close it.
   std::string serve(Time now, std::string_view frame);
-  void answered(Time now, std::uint64_t token, std::string_view frame);
-  void unanswered(Time now, std::uint64_t token);
+  void on_response(Time now, std::uint64_t token, std::string_view frame);
+  void on_request_failed(Time now, std::uint64_t token);
 
   std::vector<Datagram> take_datagrams() { return std::exchange(datagrams_, {}); }
-  std::vector<Ask> take_asks() { return std::exchange(asks_, {}); }
-  std::vector<Change> take_changes() { return std::exchange(changes_, {}); }
+  std::vector<StreamRequest> take_stream_requests() { return std::exchange(asks_, {}); }
+  std::vector<ViewEvent> take_view_events() { return std::exchange(changes_, {}); }
 
   // To be on disk before anything is sent that was taken after it had changed.
   std::uint64_t incarnation() const { return self_.stamp.incarnation; }
 
-  void publish(Time now, std::uint32_t version, std::string bytes);  // kMostPublished bytes at most
+  void publish(Time now, std::uint32_t version, std::string bytes);  // kMaxPublishedBytes bytes at most
   void leave(Time now);  // says so to some; nothing is said after it
   void reseed(Time now, std::vector<Address> seeds);
 
   // ------------------------------------------------------------------------------ what others ask
   const Record& self() const { return self_; }
-  bool settled() const { return joined_; }            // has heard of others, or knows that none answers
+  bool joined() const { return joined_; }             // has heard of others, or knows that none answers
   std::uint64_t version() const { return version_; }  // grows with each change of the view
   const Table& others() const { return table_; }
   // Alive, no suspect and no conflict, whom `wanted` takes; by name.
-  std::vector<Record> usable(const std::function<bool(const Record&)>& wanted) const;
-  Reach reach(Time now) const;
+  std::vector<Record> healthy_members(const std::function<bool(const Record&)>& wanted) const;
+  Reachability reachability(Time now) const;
   std::uint64_t digest() const { return table_.digest() ^ self_digest(); }
-  unsigned doubt() const { return doubt_; }  // of itself: 0 none, kMostDoubt at most
-  bool yielded() const { return yielded_; }  // the name is another's: this one only looks on
+  unsigned local_health_score() const { return doubt_; }  // of itself: 0 none, kMaxLocalHealthScore at most
+  bool is_observer() const { return yielded_; }           // the name is another's: this one only looks on
   const Counters& counters() const { return counters_; }
 
-  static constexpr unsigned kMostDoubt = 8;
+  static constexpr unsigned kMaxLocalHealthScore = 8;
 
  private:
   struct Probe {
@@ -148,7 +148,7 @@
   void doubt_by(int by);
   std::uint64_t self_digest() const;
   void say(const std::string& name, std::string what);
-  void dropped(Time now, Drop why);
+  void dropped(Time now, DropReason why);
   void changed(Time now);
   void finish(Time now);  // of each call
   void join(Time now, const char* how);
@@ -171,7 +171,7 @@
   void yield(Time now, const Record& holder);
 
   // probes.cpp: datagrams
-  Message message(Kind kind, const std::string& target, std::uint64_t nonce) const;
+  Message message(MessageKind kind, const std::string& target, std::uint64_t nonce) const;
   void send(Time now, const Address& to, const Message& message, std::size_t room, const Table::Entry* first);
   void probe(Time now);
   void ask_others(Time now);
@@ -193,7 +193,7 @@
   void contact(Time now);
   void plan_contact(Time now, bool soon);
   std::vector<std::string> records_of(std::uint64_t mask, Time now) const;
-  std::array<std::uint64_t, kBuckets> buckets() const;
+  std::array<std::uint64_t, kDigestBuckets> buckets() const;
   std::vector<Address> lost() const;
 
   Settings settings_;
@@ -229,11 +229,11 @@
 
   std::optional<Time> lessened_, minority_;
   Time planned_{};  // wake that was told last
-  std::array<Time, kDrops> drop_told_{};
+  std::array<Time, kDropReasons> drop_told_{};
   Counters counters_;
   std::vector<Datagram> datagrams_;
-  std::vector<Ask> asks_;
-  std::vector<Change> changes_;
+  std::vector<StreamRequest> asks_;
+  std::vector<ViewEvent> changes_;
 };
 
 }  // namespace valedrum::membership
--- a/membership/merge.cpp
+++ b/membership/merge.cpp
@@ -23,7 +23,8 @@
 }
 
 std::string conflict_text(const Record& r) {
-  return "CONFLICT: claimed by two processes, at " + to_text(r.address) + " and " + to_text(r.rival);
+  return "CONFLICT: claimed by two processes, at " + to_text(r.address) + " and " +
+         to_text(r.conflicting_address);
 }
 
 std::string tenths(Duration d) {
@@ -40,16 +41,18 @@
   if (!e) {
     if (is_gone(r.state)) {
       // Kept, so that nothing older revives it; not passed on, or nobody would ever forget it.
-      if (r.gone_for < settings_.tombstone && settings_.without != Without::tombstones) table_.put(r, now);
+      if (r.gone_for < settings_.tombstone_retention &&
+          settings_.disabled_safeguard != DisabledSafeguard::tombstones)
+        table_.put(r, now);
       return;
     }
-    if (table_.entries().size() >= kMostMembers) return;
+    if (table_.entries().size() >= kMaxMembers) return;
     Table::Entry& added = table_.put(r, now);
     include(r.name);
-    table_.pass_on(added);
+    table_.queue_update(added);
     changed(now);
     say(r.name, "new: " + std::string(name_of(r.state)) + " at " + to_text(r.address));
-    if (r.rival) say(r.name, conflict_text(r));
+    if (r.conflicting_address) say(r.name, conflict_text(r));
     if (r.state == State::suspect) verify_.push_back(r.name);
     return;
   }
@@ -77,18 +80,19 @@
     return suspect(now, e, r.accusers, true);
   }
   table_.put(r, now);
-  if (settings_.without == Without::tombstones && is_gone(r.state)) {
+  if (settings_.disabled_safeguard == DisabledSafeguard::tombstones && is_gone(r.state)) {
     say(old.name, std::string(name_of(r.state)));
     return table_.erase(old.name);
   }
   if (was_gone && is_gone(r.state)) return;
   if (was_gone) include(r.name);
-  table_.pass_on(e);
+  table_.queue_update(e);
   if (r.state == State::suspect) verify_.push_back(r.name);
-  if (r.rival != old.rival || (r.rival && was_gone && !is_gone(r.state))) {
-    say(r.name,
-        r.rival ? "CONFLICT: claimed by two processes, at " + to_text(r.address) + " and " + to_text(r.rival)
-                : "the conflict over its name has ended");
+  if (r.conflicting_address != old.conflicting_address ||
+      (r.conflicting_address && was_gone && !is_gone(r.state))) {
+    say(r.name, r.conflicting_address ? "CONFLICT: claimed by two processes, at " + to_text(r.address) +
+                                            " and " + to_text(r.conflicting_address)
+                                      : "the conflict over its name has ended");
   }
   const std::string stamp = "incarnation " + std::to_string(r.stamp.incarnation);
   if (r.state == State::left) {
@@ -97,7 +101,7 @@
     say(r.name,
         "started anew: " + std::string(name_of(r.state)) + ", " + stamp + ", at " + to_text(r.address));
   } else if (was_gone) {
-    say(r.name, "alive again, " + stamp + ", after " + tenths(now - e.since));
+    say(r.name, "alive again, " + stamp + ", after " + tenths(now - e.state_since));
   } else if (r.state != old.state) {
     say(r.name, old.state == State::suspect ? "alive: refutes the suspicion" : std::string(name_of(r.state)));
   }
@@ -111,7 +115,7 @@
 }
 
 void Membership::refute(Time now, const Stamp& stamp) {
-  if (settings_.without == Without::refutation) return;
+  if (settings_.disabled_safeguard == DisabledSafeguard::refutation) return;
   self_.stamp.incarnation = std::max(self_.stamp.incarnation, stamp.incarnation);
   self_.stamp.revision = std::max(self_.stamp.revision, stamp.revision) + 1;
   ++counters_.refutations;
@@ -121,7 +125,9 @@
 
 // What is known of this name is of another process that is gone: it has to be newer than that.
 void Membership::exceed(Time now, const Stamp& stamp) {
-  if (settings_.without == Without::incarnation || self_.stamp.incarnation > stamp.incarnation) return;
+  if (settings_.disabled_safeguard == DisabledSafeguard::incarnation ||
+      self_.stamp.incarnation > stamp.incarnation)
+    return;
   self_.stamp = {stamp.incarnation + 1, 0};
   announce(now);
   say(self_.name,
@@ -156,15 +162,15 @@
 
 void Membership::heard_rival(Time now, const Message& m, const Address& from) {
   if (yielded_) {
-    if (claim_ && m.kind == Kind::ack && m.nonce == quiet_nonce_) claim_->tries = 0;
+    if (claim_ && m.kind == MessageKind::ack && m.nonce == quiet_nonce_) claim_->tries = 0;
     return;
   }
-  if (claim_ && m.kind == Kind::ack && m.nonce == claim_->nonce) return yield(now, claim_->holder);
-  if (!joined_ || m.kind != Kind::ping || m.target != self_.name) return;
-  send(now, from, message(Kind::ack, self_.name, m.nonce), 0, nullptr);
+  if (claim_ && m.kind == MessageKind::ack && m.nonce == claim_->nonce) return yield(now, claim_->holder);
+  if (!joined_ || m.kind != MessageKind::ping || m.target != self_.name) return;
+  send(now, from, message(MessageKind::ack, self_.name, m.nonce), 0, nullptr);
   rival_heard_ = now;
-  if (self_.rival) return;
-  self_.rival = from;
+  if (self_.conflicting_address) return;
+  self_.conflicting_address = from;
   ++self_.stamp.revision;
   announce(now);
   say(self_.name, "CONFLICT: another process at " + to_text(from) + " claims this name");
@@ -175,26 +181,26 @@
   yielded_ = true;
   joined_ = false;
   probe_.reset();
-  claim_ = Claim{holder, quiet_nonce_, 0, now + jittered(settings_.probe_every)};
+  claim_ = Claim{holder, quiet_nonce_, 0, now + jittered(settings_.probe_interval)};
   changed(now);
   say(self_.name, "CONFLICT: this name is held by another process at " + to_text(holder.address) +
                       ": this one only looks on");
 }
 
 void Membership::check_claim(Time now) {
-  if (self_.rival && now >= rival_heard_ + settings_.reconnect_most * 3) {
-    self_.rival = {};
+  if (self_.conflicting_address && now >= rival_heard_ + settings_.max_reconnect_interval * 3) {
+    self_.conflicting_address = {};
     ++self_.stamp.revision;
     announce(now);
     say(self_.name, "the conflict over this name has ended");
   }
   if (!claim_ || now < claim_->next) return;
   if (claim_->tries++ < kClaimTries) {
-    Message ping = message(Kind::ping, self_.name, claim_->nonce);
+    Message ping = message(MessageKind::ping, self_.name, claim_->nonce);
     send(now, claim_->holder.address, ping, 0, nullptr);
     const Duration pause =
-        yielded_ ? settings_.reconnect_most / 2
-                 : Duration(std::llround(static_cast<double>(settings_.ack_within.count()) * factor()));
+        yielded_ ? settings_.max_reconnect_interval / 2
+                 : Duration(std::llround(static_cast<double>(settings_.ack_timeout.count()) * factor()));
     claim_->next = now + jittered(pause);
     return;
   }
@@ -230,12 +236,12 @@
   }
   bool added = fresh;
   for (const std::string& a : accusers) {
-    if (known.size() >= kMostAccusers || std::ranges::find(known, a) != known.end()) continue;
+    if (known.size() >= kMaxAccusers || std::ranges::find(known, a) != known.end()) continue;
     known.push_back(a);
     added = true;
   }
   e.confirmed = e.confirmed || confirmed;
-  if (added) table_.pass_on(e);
+  if (added) table_.queue_update(e);
   if (fresh && std::ranges::find(accusers, self_.name) == accusers.end()) {
     say(e.record.name, (confirmed ? "suspect: held for dead by others" : "suspect: not reached by others") +
                            (accusers.empty() ? "" : ", first " + joined_text(accusers)));
@@ -244,14 +250,15 @@
 
 // How long a suspicion stands before it is a death: least once enough others have it too.
 Duration Membership::patience(const Table::Entry& e) const {
-  const double members = static_cast<double>(table_.live() + 1);
-  const double widened = settings_.without == Without::self_doubt ? 1 : 1 + doubt_ / 2.0;
-  const double least = static_cast<double>(settings_.probe_every.count()) *
+  const double members = static_cast<double>(table_.live_count() + 1);
+  const double widened =
+      settings_.disabled_safeguard == DisabledSafeguard::local_health ? 1 : 1 + doubt_ / 2.0;
+  const double least = static_cast<double>(settings_.probe_interval.count()) *
                        std::max(kLeastPatience, std::log2(members + 1)) * widened;
-  const std::size_t others = table_.live() - table_.suspects();
+  const std::size_t others = table_.live_count() - table_.suspect_count();
   const auto needed = static_cast<double>(std::min<std::size_t>(settings_.confirmations, others));
   const double got = e.record.accusers.empty() ? 0 : static_cast<double>(e.record.accusers.size() - 1);
-  if (e.confirmed || got >= needed || settings_.without == Without::confirmation)
+  if (e.confirmed || got >= needed || settings_.disabled_safeguard == DisabledSafeguard::confirmation)
     return Duration(std::llround(least));
   const double most = least * kMostPatience;
   return Duration(std::llround(most - (most - least) * std::log(got + 1) / std::log(needed + 1)));
@@ -261,7 +268,7 @@
   const auto names = table_.suspect_names();
   for (const std::string& name : names) {
     Table::Entry& e = *table_.find(name);
-    if (now >= e.since + patience(e)) bury(now, e);
+    if (now >= e.state_since + patience(e)) bury(now, e);
   }
 }
 
@@ -269,17 +276,17 @@
   ++counters_.deaths;
   changed(now);
   say(e.record.name,
-      "dead: suspected for " + tenths(now - e.since) + ", by " + joined_text(e.record.accusers));
+      "dead: suspected for " + tenths(now - e.state_since) + ", by " + joined_text(e.record.accusers));
   table_.set_state(e, State::dead, now);
-  table_.pass_on(e);
-  if (settings_.without == Without::tombstones) table_.erase(e.record.name);
+  table_.queue_update(e);
+  if (settings_.disabled_safeguard == DisabledSafeguard::tombstones) table_.erase(e.record.name);
   plan_contact(now, true);
 }
 
 void Membership::forget(Time now) {
   std::vector<std::string> over;
   for (const auto& [name, e] : table_.entries()) {
-    if (is_gone(e.record.state) && now >= e.since + settings_.tombstone) over.push_back(name);
+    if (is_gone(e.record.state) && now >= e.state_since + settings_.tombstone_retention) over.push_back(name);
   }
   for (const std::string& name : over) {
     const Record& r = table_.find(name)->record;
@@ -292,7 +299,7 @@
     table_.erase(name);
     changed(now);
   }
-  forget_at_ = table_.gone() > 0 ? now + settings_.tombstone / 8 : Time::max();
+  forget_at_ = table_.gone_count() > 0 ? now + settings_.tombstone_retention / 8 : Time::max();
 }
 
 }  // namespace valedrum::membership
--- a/membership/probes.cpp
+++ b/membership/probes.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Message Membership::message(Kind kind, const std::string& target, std::uint64_t nonce) const {
+Message Membership::message(MessageKind kind, const std::string& target, std::uint64_t nonce) const {
   Message m;
   m.kind = kind;
   m.fleet = settings_.fleet;
@@ -43,10 +43,10 @@
     records.push_back(std::move(bytes));
     return true;
   };
-  if (first) put(encode(Table::told(*first, now)));
+  if (first) put(encode(Table::record_to_send(*first, now)));
   if (!yielded_ && self_sent_ < spread() && put(encode(self_))) ++self_sent_;
   if (used < room) {
-    for (std::string& bytes : table_.take_rumours(room - used, spread(), now))
+    for (std::string& bytes : table_.take_updates(room - used, spread(), now))
       records.push_back(std::move(bytes));
   }
   datagrams_.push_back({to, encode(m, records)});
@@ -54,7 +54,7 @@
 
 std::vector<Table::Entry*> Membership::some_live(std::size_t n, std::string_view but) {
   std::vector<Table::Entry*> some;
-  const std::vector<Table::Entry*>& live = table_.live_ones();
+  const std::vector<Table::Entry*>& live = table_.live_entries();
   if (live.size() <= 2 * n + 2) {
     some = live;
     std::erase_if(some, [&](const Table::Entry* e) { return e->record.name == but; });
@@ -77,7 +77,7 @@
       round_.pop_back();
       if (e && !is_gone(e->record.state)) return e;
     }
-    for (const Table::Entry* e : table_.live_ones()) round_.push_back(e->record.name);
+    for (const Table::Entry* e : table_.live_entries()) round_.push_back(e->record.name);
     for (std::size_t i = round_.size(); i > 1; --i) std::swap(round_[i - 1], round_[below(i)]);
   }
   return nullptr;
@@ -94,30 +94,30 @@
   if (probe_ && now >= probe_->ends_at) end_probe(now);
   if (probe_ && now >= probe_->others_at) ask_others(now);
   if (probe_ || now < probe_at_) return;
-  probe_at_ = now + jittered(times(settings_.probe_every, factor()));
+  probe_at_ = now + jittered(times(settings_.probe_interval, factor()));
   const Table::Entry* e = next_target();
   if (!e) return;
   ++counters_.probes;
-  probe_ = Probe{e->record.name, draw(), now + times(settings_.ack_within, factor()),
-                 now + times(settings_.probe_every, factor())};
-  send(now, e->record.address, message(Kind::ping, e->record.name, probe_->nonce), settings_.most_datagram,
-       e->record.state == State::suspect ? e : nullptr);
+  probe_ = Probe{e->record.name, draw(), now + times(settings_.ack_timeout, factor()),
+                 now + times(settings_.probe_interval, factor())};
+  send(now, e->record.address, message(MessageKind::ping, e->record.name, probe_->nonce),
+       settings_.max_datagram_bytes, e->record.state == State::suspect ? e : nullptr);
 }
 
 void Membership::ask_others(Time now) {
   probe_->others_at = Time::max();
-  for (const Table::Entry* e : some_live(settings_.indirect, probe_->target)) {
+  for (const Table::Entry* e : some_live(settings_.indirect_probes, probe_->target)) {
     if (e->record.state == State::suspect) continue;
     ++probe_->asked;
-    ++counters_.asked_others;
-    send(now, e->record.address, message(Kind::ping_req, probe_->target, probe_->nonce),
-         settings_.most_datagram, nullptr);
+    ++counters_.indirect_probe_requests;
+    send(now, e->record.address, message(MessageKind::ping_req, probe_->target, probe_->nonce),
+         settings_.max_datagram_bytes, nullptr);
   }
 }
 
 void Membership::end_probe(Time now) {
   const Probe over = *std::exchange(probe_, std::nullopt);
-  ++counters_.unanswered;
+  ++counters_.failed_probes;
   // Others that were asked and said nothing at all: perhaps it is this member that does not hear.
   doubt_by(over.asked > 0 ? static_cast<int>(over.asked - std::min(over.asked, over.nacks)) : 1);
   Table::Entry* e = table_.find(over.target);
@@ -138,23 +138,24 @@
     verify_.pop_back();
     Table::Entry* e = table_.find(name);
     if (!e || e->record.state != State::suspect) continue;
-    e->since = now;
-    send(now, e->record.address, message(Kind::ping, name, quiet_nonce_), settings_.most_datagram, e);
+    e->state_since = now;
+    send(now, e->record.address, message(MessageKind::ping, name, quiet_nonce_), settings_.max_datagram_bytes,
+         e);
     ++n;
   }
-  verify_at_ = verify_.empty() ? Time::max() : now + settings_.probe_every / kGossipsAPeriod;
+  verify_at_ = verify_.empty() ? Time::max() : now + settings_.probe_interval / kGossipsAPeriod;
 }
 
 void Membership::gossip(Time now) {
   if (now < gossip_at_) return;
   gossip_at_ = Time::max();
   for (const Table::Entry* e : some_live(kGossipTo, {})) {
-    if (!table_.to_pass_on() && self_sent_ >= spread()) break;
-    send(now, e->record.address, message(Kind::gossip, {}, 0), settings_.most_datagram,
+    if (!table_.has_pending_updates() && self_sent_ >= spread()) break;
+    send(now, e->record.address, message(MessageKind::gossip, {}, 0), settings_.max_datagram_bytes,
          e->record.state == State::suspect ? e : nullptr);
   }
-  if (table_.live() > 0 && (table_.to_pass_on() || self_sent_ < spread()))
-    gossip_at_ = now + jittered(settings_.probe_every / kGossipsAPeriod);
+  if (table_.live_count() > 0 && (table_.has_pending_updates() || self_sent_ < spread()))
+    gossip_at_ = now + jittered(settings_.probe_interval / kGossipsAPeriod);
 }
 
 void Membership::relayed_due(Time now) {
@@ -162,7 +163,8 @@
     Relayed& r = at->second;
     if (!r.nacked && now >= r.nack_at) {
       r.nacked = true;
-      send(now, r.asker, message(Kind::nack, r.target, r.nonce), settings_.most_datagram, nullptr);
+      send(now, r.asker, message(MessageKind::nack, r.target, r.nonce), settings_.max_datagram_bytes,
+           nullptr);
     }
     at = now >= r.ends_at ? relayed_.erase(at) : std::next(at);
   }
@@ -173,13 +175,13 @@
 void Membership::receive(Time now, const Address& from, std::string_view bytes) {
   notice(now);
   if (left_) return;
-  auto read = decode(bytes, settings_.most_datagram);
-  if (const Drop* why = std::get_if<Drop>(&read)) return dropped(now, *why);
+  auto read = decode(bytes, settings_.max_datagram_bytes);
+  if (const DropReason* why = std::get_if<DropReason>(&read)) return dropped(now, *why);
   const Message& m = std::get<Message>(read);
-  if (m.fleet != settings_.fleet) return dropped(now, Drop::other_fleet);
-  if (m.kind > Kind::gossip) return dropped(now, Drop::misdirected);
+  if (m.fleet != settings_.fleet) return dropped(now, DropReason::other_fleet);
+  if (m.kind > MessageKind::gossip) return dropped(now, DropReason::misdirected);
   if (m.sender == self_.name) {
-    if (m.instance == self_.instance) return dropped(now, Drop::stray);
+    if (m.instance == self_.instance) return dropped(now, DropReason::stray);
     heard_rival(now, m, from);
     return finish(now);
   }
@@ -188,16 +190,16 @@
   Table::Entry* e = table_.find(m.sender);
   if (e && e->record.instance == m.instance && !is_gone(e->record.state)) e->heard = now;
   switch (m.kind) {
-    case Kind::ping:
+    case MessageKind::ping:
       on_ping(now, from, m, bytes.size());
       break;
-    case Kind::ping_req:
+    case MessageKind::ping_req:
       on_ping_req(now, from, m);
       break;
-    case Kind::ack:
+    case MessageKind::ack:
       on_ack(now, from, m);
       break;
-    case Kind::nack:
+    case MessageKind::nack:
       on_nack(m);
       break;
     default:
@@ -209,14 +211,14 @@
 
 void Membership::on_ping(Time now, const Address& from, const Message& m, std::size_t size) {
   // Without a target: whoever is at this address.
-  if (!m.target.empty() && m.target != self_.name) return dropped(now, Drop::misdirected);
+  if (!m.target.empty() && m.target != self_.name) return dropped(now, DropReason::misdirected);
   const Table::Entry* e = table_.find(m.sender);
-  const bool proven = e && e->proven && e->record.address == from;
+  const bool proven = e && e->address_verified && e->record.address == from;
   // What is held of it is older or worse than it knows: it has to hear that, to refute it.
   const bool tell =
       e && (e->record.state == State::suspect || is_gone(e->record.state) || e->record.stamp > m.stamp);
-  send(now, from, message(Kind::ack, self_.name, m.nonce),
-       proven ? settings_.most_datagram : std::min(settings_.most_datagram, size * kUnproven),
+  send(now, from, message(MessageKind::ack, self_.name, m.nonce),
+       proven ? settings_.max_datagram_bytes : std::min(settings_.max_datagram_bytes, size * kUnproven),
        tell ? e : nullptr);
 }
 
@@ -225,12 +227,12 @@
   const Table::Entry* asker = table_.find(m.sender);
   const Table::Entry* e = table_.find(m.target);
   if (!asker || asker->record.address != from || !e || relayed_.size() >= kMostRelayed)
-    return dropped(now, Drop::stray);
+    return dropped(now, DropReason::stray);
   const std::uint64_t nonce = draw();
-  const Duration within = times(settings_.ack_within, factor());
-  relayed_[nonce] = {from, m.nonce, m.target, now + times(settings_.ack_within, kNackAfter),
+  const Duration within = times(settings_.ack_timeout, factor());
+  relayed_[nonce] = {from, m.nonce, m.target, now + times(settings_.ack_timeout, kNackAfter),
                      now + within * 2};
-  send(now, e->record.address, message(Kind::ping, m.target, nonce), settings_.most_datagram,
+  send(now, e->record.address, message(MessageKind::ping, m.target, nonce), settings_.max_datagram_bytes,
        e->record.state == State::suspect ? e : nullptr);
 }
 
@@ -238,15 +240,16 @@
   const bool probed = probe_ && m.nonce == probe_->nonce && m.target == probe_->target;
   const auto found = relayed_.find(m.nonce);
   const bool relayed = found != relayed_.end() && found->second.target == m.target;
-  if (!probed && !relayed && m.nonce != quiet_nonce_) return dropped(now, Drop::stray);
-  if (Table::Entry* e = table_.find(m.sender); e && e->record.address == from) e->proven = true;
+  if (!probed && !relayed && m.nonce != quiet_nonce_) return dropped(now, DropReason::stray);
+  if (Table::Entry* e = table_.find(m.sender); e && e->record.address == from) e->address_verified = true;
   if (probed) {
     probe_.reset();
     doubt_by(-1);
   } else if (relayed) {
     const Relayed r = found->second;
     relayed_.erase(found);
-    send(now, r.asker, message(Kind::ack, r.target, r.nonce), settings_.most_datagram, table_.find(r.target));
+    send(now, r.asker, message(MessageKind::ack, r.target, r.nonce), settings_.max_datagram_bytes,
+         table_.find(r.target));
   }
 }
 
--- a/membership/table.cpp
+++ b/membership/table.cpp
@@ -22,7 +22,7 @@
 }
 
 std::size_t Table::bucket_of(std::string_view name) {
-  return XXH3_64bits(name.data(), name.size()) % kBuckets;
+  return XXH3_64bits(name.data(), name.size()) % kDigestBuckets;
 }
 
 void Table::add(Entry& e) {
@@ -49,9 +49,9 @@
 Table::Entry& Table::put(Record record, Time now) {
   Entry& e = entries_[record.name];
   if (!e.record.name.empty()) take_out(e);
-  if (e.record.address != record.address) e.proven = false;
-  if (e.record.state != record.state || e.record.instance != record.instance) e.since = now;
-  if (is_gone(record.state)) e.since = now - record.gone_for;
+  if (e.record.address != record.address) e.address_verified = false;
+  if (e.record.state != record.state || e.record.instance != record.instance) e.state_since = now;
+  if (is_gone(record.state)) e.state_since = now - record.gone_for;
   e.confirmed = false;
   e.record = std::move(record);
   add(e);
@@ -61,7 +61,7 @@
 void Table::set_state(Entry& e, State state, Time now) {
   take_out(e);
   e.record.state = state;
-  e.since = now;
+  e.state_since = now;
   e.confirmed = false;
   if (state != State::suspect && state != State::dead) e.record.accusers.clear();
   add(e);
@@ -71,7 +71,7 @@
   const auto found = entries_.find(name);
   if (found == entries_.end()) return;
   take_out(found->second);
-  if (found->second.sent) std::erase_if(rumours_, [&](const auto& r) { return r.second == name; });
+  if (found->second.sent) std::erase_if(pending_updates_, [&](const auto& r) { return r.second == name; });
   entries_.erase(found);
 }
 
@@ -81,31 +81,31 @@
   return all;
 }
 
-void Table::pass_on(Entry& e) {
+void Table::queue_update(Entry& e) {
   if (e.sent) {
-    const auto [from, to] = rumours_.equal_range(*e.sent);
+    const auto [from, to] = pending_updates_.equal_range(*e.sent);
     for (auto at = from; at != to; ++at) {
       if (at->second != e.record.name) continue;
-      rumours_.erase(at);
+      pending_updates_.erase(at);
       break;
     }
   }
   e.sent = 0;
-  rumours_.emplace(0U, e.record.name);
+  pending_updates_.emplace(0U, e.record.name);
 }
 
-Record Table::told(const Entry& e, Time now) {
+Record Table::record_to_send(const Entry& e, Time now) {
   Record r = e.record;
-  if (is_gone(r.state)) r.gone_for = now - e.since;
+  if (is_gone(r.state)) r.gone_for = now - e.state_since;
   return r;
 }
 
-std::vector<std::string> Table::take_rumours(std::size_t room, unsigned most, Time now) {
+std::vector<std::string> Table::take_updates(std::size_t room, unsigned most, Time now) {
   std::vector<std::string> taken;
   std::vector<std::pair<unsigned, std::string>> again;
-  for (auto at = rumours_.begin(); at != rumours_.end();) {
+  for (auto at = pending_updates_.begin(); at != pending_updates_.end();) {
     Entry& e = entries_.find(at->second)->second;
-    std::string bytes = encode(told(e, now));
+    std::string bytes = encode(record_to_send(e, now));
     if (bytes.size() > room) break;  // the next are no smaller as a rule, and their turn comes
     room -= bytes.size();
     taken.push_back(std::move(bytes));
@@ -115,9 +115,9 @@
     } else {
       e.sent.reset();
     }
-    at = rumours_.erase(at);
+    at = pending_updates_.erase(at);
   }
-  for (auto& [sent, name] : again) rumours_.emplace(sent, std::move(name));
+  for (auto& [sent, name] : again) pending_updates_.emplace(sent, std::move(name));
   return taken;
 }
 
--- a/membership/types.h
+++ b/membership/types.h
@@ -55,43 +55,54 @@
   Stamp stamp;
   Address address;  // where others reach it
   State state = State::joining;
-  Address rival;                        // where another process that claims the same name was heard
+  Address conflicting_address;          // where another process that claims the same name was heard
   std::uint32_t published_version = 0;  // format of `published`; 0: nothing is published
-  std::string published;                // kMostPublished bytes at most, for the parts that build on this one
-  std::vector<std::string> accusers;    // of one that is suspect or dead: kMostAccusers at most
-  Duration gone_for{};                  // of one that is gone
+  std::string published;  // kMaxPublishedBytes bytes at most, for the parts that build on this one
+  std::vector<std::string> accusers;  // of one that is suspect or dead: kMaxAccusers at most
+  Duration gone_for{};                // of one that is gone
 };
 
-inline constexpr std::size_t kMostName = 64;  // bytes; of a machine's too
-inline constexpr std::size_t kMostZone = 32;
-inline constexpr std::size_t kMostPublished = 256;
-inline constexpr std::size_t kMostAccusers = 3;
-inline constexpr std::uint64_t kMostIncarnation = 1ULL << 48;  // what claims more is damaged
+inline constexpr std::size_t kMaxNameBytes = 64;  // bytes; of a machine's too
+inline constexpr std::size_t kMaxZoneBytes = 32;
+inline constexpr std::size_t kMaxPublishedBytes = 256;
+inline constexpr std::size_t kMaxAccusers = 3;
+inline constexpr std::uint64_t kMaxIncarnation = 1ULL << 48;  // what claims more is damaged
 
 // The lab breaks the protocol on purpose, to see that its checks would notice. Never set by a relay.
-enum class Without { nothing, refutation, tombstones, incarnation, anti_entropy, self_doubt, confirmation };
+enum class DisabledSafeguard {
+  none,
+  refutation,
+  tombstones,
+  incarnation,
+  anti_entropy,
+  local_health,
+  confirmation
+};
 
-struct WithoutName {
+struct DisabledSafeguardName {
   std::string_view name;
-  Without without;
+  DisabledSafeguard disabled_safeguard;
 };
-inline constexpr WithoutName kWithoutNames[] = {
-    {"nothing", Without::nothing},           {"refutation", Without::refutation},
-    {"tombstones", Without::tombstones},     {"incarnation", Without::incarnation},
-    {"anti_entropy", Without::anti_entropy}, {"self_doubt", Without::self_doubt},
-    {"confirmation", Without::confirmation}};
+inline constexpr DisabledSafeguardName kDisabledSafeguardNames[] = {
+    {"nothing", DisabledSafeguard::none},
+    {"refutation", DisabledSafeguard::refutation},
+    {"tombstones", DisabledSafeguard::tombstones},
+    {"incarnation", DisabledSafeguard::incarnation},
+    {"anti_entropy", DisabledSafeguard::anti_entropy},
+    {"self_doubt", DisabledSafeguard::local_health},
+    {"confirmation", DisabledSafeguard::confirmation}};
 
 struct Settings {
   std::string fleet;           // who belongs together; 1 to 64 bytes
   std::vector<Address> seeds;  // asked at a join, and tried for ever where they are not in the view
-  Duration probe_every = std::chrono::seconds(1);
-  Duration ack_within = std::chrono::milliseconds(500);  // more than a round trip, less than half a probe
-  std::uint32_t indirect = 3;                            // members that are asked to probe in one's place
+  Duration probe_interval = std::chrono::seconds(1);
+  Duration ack_timeout = std::chrono::milliseconds(500);  // more than a round trip, less than half a probe
+  std::uint32_t indirect_probes = 3;                      // members that are asked to probe in one's place
   std::uint32_t confirmations = 2;  // other members that must suspect too, where there are; 2 at most
-  Duration tombstone = std::chrono::minutes(10);       // that one that is gone is remembered for
-  Duration reconnect_most = std::chrono::seconds(30);  // between two tries to reach what is lost
-  std::size_t most_datagram = 1200;                    // bytes
-  Without without = Without::nothing;
+  Duration tombstone_retention = std::chrono::minutes(10);     // that one that is gone is remembered for
+  Duration max_reconnect_interval = std::chrono::seconds(30);  // between two tries to reach what is lost
+  std::size_t max_datagram_bytes = 1200;                       // bytes
+  DisabledSafeguard disabled_safeguard = DisabledSafeguard::none;
 };
 
 // Throws std::invalid_argument whose text begins with the field at fault.
--- a/membership/wire.cpp
+++ b/membership/wire.cpp
@@ -85,7 +85,7 @@
 
 Stamp read_stamp(In& in) {
   Stamp s;
-  s.incarnation = in.number(kMostIncarnation);
+  s.incarnation = in.number(kMaxIncarnation);
   s.revision = static_cast<std::uint32_t>(in.number(0xffffffff));
   return s;
 }
@@ -99,18 +99,18 @@
   Record r;
   r.state = static_cast<State>(in.byte());
   if (r.state > State::left) in.good = false;
-  r.name = in.text(kMostName);
-  r.machine = in.text(kMostName);
-  r.zone = in.text(kMostZone);
+  r.name = in.text(kMaxNameBytes);
+  r.machine = in.text(kMaxNameBytes);
+  r.zone = in.text(kMaxZoneBytes);
   r.instance = in.fixed();
   r.stamp = read_stamp(in);
   r.address = in.address();
-  r.rival = in.address();
+  r.conflicting_address = in.address();
   r.published_version = static_cast<std::uint32_t>(in.number(0xffffffff));
-  if (r.published_version > 0) r.published = in.text(kMostPublished);
+  if (r.published_version > 0) r.published = in.text(kMaxPublishedBytes);
   if (r.state == State::suspect || r.state == State::dead) {
-    for (std::uint64_t n = in.number(kMostAccusers); n > 0 && in.good; --n)
-      r.accusers.push_back(in.text(kMostName));
+    for (std::uint64_t n = in.number(kMaxAccusers); n > 0 && in.good; --n)
+      r.accusers.push_back(in.text(kMaxNameBytes));
   }
   if (is_gone(r.state)) r.gone_for = std::chrono::seconds(in.number(1U << 30));
   if (r.name.empty() || !r.address) in.good = false;
@@ -129,7 +129,7 @@
   return names[static_cast<std::size_t>(state)];
 }
 
-std::string_view name_of(Drop drop) {
+std::string_view name_of(DropReason drop) {
   constexpr std::string_view names[] = {"foreign",     "newer version", "damaged", "oversized",
                                         "other fleet", "misdirected",   "stray"};
   return names[static_cast<std::size_t>(drop)];
@@ -140,17 +140,18 @@
   const auto refuse = [](bool ok, const char* what) {
     if (!ok) throw std::invalid_argument(what);
   };
-  refuse(!s.fleet.empty() && s.fleet.size() <= kMostName, "name: must have 1 to 64 bytes");
-  refuse(s.probe_every >= 50ms && s.probe_every <= 60s, "probe_ms: must lie from 50 to 60000");
-  refuse(s.ack_within >= 5ms && s.ack_within <= s.probe_every * 2 / 3,
+  refuse(!s.fleet.empty() && s.fleet.size() <= kMaxNameBytes, "name: must have 1 to 64 bytes");
+  refuse(s.probe_interval >= 50ms && s.probe_interval <= 60s, "probe_ms: must lie from 50 to 60000");
+  refuse(s.ack_timeout >= 5ms && s.ack_timeout <= s.probe_interval * 2 / 3,
          "ack_ms: must lie from 5 to two thirds of probe_ms");
-  refuse(s.indirect <= 16, "indirect: must be 16 at most");
-  refuse(s.confirmations < kMostAccusers, "confirmations: must be 2 at most");
-  refuse(s.tombstone >= s.probe_every * 60 && s.tombstone <= 168h,
+  refuse(s.indirect_probes <= 16, "indirect: must be 16 at most");
+  refuse(s.confirmations < kMaxAccusers, "confirmations: must be 2 at most");
+  refuse(s.tombstone_retention >= s.probe_interval * 60 && s.tombstone_retention <= 168h,
          "tombstone_s: must lie from 60 probes to a week");
-  refuse(s.reconnect_most >= s.probe_every && s.reconnect_most <= 1h,
+  refuse(s.max_reconnect_interval >= s.probe_interval && s.max_reconnect_interval <= 1h,
          "reconnect_s: must lie from one probe to an hour");
-  refuse(s.most_datagram >= 800 && s.most_datagram <= 60000, "datagram: must lie from 800 to 60000 bytes");
+  refuse(s.max_datagram_bytes >= 800 && s.max_datagram_bytes <= 60000,
+         "datagram: must lie from 800 to 60000 bytes");
 }
 
 std::string encode(const Record& r) {
@@ -162,12 +163,12 @@
   out.fixed(r.instance);
   write(out, r.stamp);
   out.address(r.address);
-  out.address(r.rival);
+  out.address(r.conflicting_address);
   out.number(r.published_version);
   if (r.published_version > 0) out.text(r.published);
   if (r.state == State::suspect || r.state == State::dead) {
-    out.number(std::min(r.accusers.size(), kMostAccusers));
-    for (std::size_t i = 0; i < std::min(r.accusers.size(), kMostAccusers); ++i) out.text(r.accusers[i]);
+    out.number(std::min(r.accusers.size(), kMaxAccusers));
+    for (std::size_t i = 0; i < std::min(r.accusers.size(), kMaxAccusers); ++i) out.text(r.accusers[i]);
   }
   if (is_gone(r.state)) {
     out.number(
@@ -185,8 +186,8 @@
   body.text(m.target);
   body.fixed(m.nonce);
   body.fixed(m.digest);
-  if (m.kind == Kind::view) body.fixed(m.mask);
-  if (m.kind == Kind::pull) {
+  if (m.kind == MessageKind::view) body.fixed(m.mask);
+  if (m.kind == MessageKind::pull) {
     for (const std::uint64_t b : m.buckets) body.fixed(b);
   }
   body.number(m.records.size() + records.size());
@@ -200,30 +201,31 @@
   return all.bytes_ + body.bytes_;
 }
 
-std::variant<Message, Drop> decode(std::string_view bytes, std::size_t most) {
-  if (bytes.size() > most) return Drop::oversized;
-  if (!bytes.starts_with(kMagic) || bytes.size() < kHead) return Drop::foreign;
-  if (static_cast<std::uint8_t>(bytes[2]) != kWireVersion) return Drop::newer;
+std::variant<Message, DropReason> decode(std::string_view bytes, std::size_t most) {
+  if (bytes.size() > most) return DropReason::oversized;
+  if (!bytes.starts_with(kMagic) || bytes.size() < kHead) return DropReason::foreign;
+  if (static_cast<std::uint8_t>(bytes[2]) != kWireVersion) return DropReason::newer_version;
   Message m;
-  m.kind = static_cast<Kind>(bytes[3]);
+  m.kind = static_cast<MessageKind>(bytes[3]);
   In in(bytes.substr(4));
   const std::uint64_t sum = in.fixed();
   const std::string_view body = bytes.substr(kHead);
-  if (m.kind > Kind::thanks ||
+  if (m.kind > MessageKind::push_ack ||
       sum != XXH3_64bits_withSeed(body.data(), body.size(), static_cast<XXH64_hash_t>(m.kind))) {
-    return Drop::damaged;
+    return DropReason::damaged;
   }
-  m.fleet = in.text(kMostName);
-  m.sender = in.text(kMostName);
+  m.fleet = in.text(kMaxNameBytes);
+  m.sender = in.text(kMaxNameBytes);
   m.instance = in.fixed();
   m.stamp = read_stamp(in);
-  m.target = in.text(kMostName);
+  m.target = in.text(kMaxNameBytes);
   m.nonce = in.fixed();
   m.digest = in.fixed();
-  if (m.kind == Kind::view) m.mask = in.fixed();
-  for (std::size_t b = 0; m.kind == Kind::pull && b < kBuckets; ++b) m.buckets.push_back(in.fixed());
-  for (std::uint64_t n = in.number(kMostMembers); n > 0 && in.good; --n) m.records.push_back(read_record(in));
-  if (!in.good || !in.empty() || m.sender.empty()) return Drop::damaged;
+  if (m.kind == MessageKind::view) m.mask = in.fixed();
+  for (std::size_t b = 0; m.kind == MessageKind::pull && b < kDigestBuckets; ++b)
+    m.buckets.push_back(in.fixed());
+  for (std::uint64_t n = in.number(kMaxMembers); n > 0 && in.good; --n) m.records.push_back(read_record(in));
+  if (!in.good || !in.empty() || m.sender.empty()) return DropReason::damaged;
   return m;
 }
 
--- a/membership/wire.h
+++ b/membership/wire.h
@@ -12,29 +12,37 @@
 namespace valedrum::membership {
 
 inline constexpr std::uint8_t kWireVersion = 1;
-inline constexpr std::size_t kBuckets = 64;            // of the digest
-inline constexpr std::size_t kMostFrame = 1U << 20;    // bytes of a stream's frame
-inline constexpr std::size_t kMostMembers = 1U << 12;  // in a frame, and in a view
+inline constexpr std::size_t kDigestBuckets = 64;        // of the digest
+inline constexpr std::size_t kMaxFrameBytes = 1U << 20;  // bytes of a stream's frame
+inline constexpr std::size_t kMaxMembers = 1U << 12;     // in a frame, and in a view
 
-enum class Kind : std::uint8_t {
+enum class MessageKind : std::uint8_t {
   ping,
   ack,       // `target` is alive: the sender itself, or one that it was asked to probe
   nack,      // it is not known yet whether `target` is alive, but the sender is
   ping_req,  // probe `target` for me
   gossip,
-  pull,   // stream: the sender's digests
-  view,   // stream, answer: what differs in the buckets of `mask`
-  push,   // stream: the sender's own part of these
-  thanks  // stream, answer
+  pull,     // stream: the sender's digests
+  view,     // stream, answer: what differs in the buckets of `mask`
+  push,     // stream: the sender's own part of these
+  push_ack  // stream, answer
 };
 
 // Why a datagram or frame was not taken.
-enum class Drop : std::uint8_t { foreign, newer, damaged, oversized, other_fleet, misdirected, stray };
-inline constexpr std::size_t kDrops = 7;
-std::string_view name_of(Drop drop);
+enum class DropReason : std::uint8_t {
+  foreign,
+  newer_version,
+  damaged,
+  oversized,
+  other_fleet,
+  misdirected,
+  stray
+};
+inline constexpr std::size_t kDropReasons = 7;
+std::string_view name_of(DropReason drop);
 
 struct Message {
-  Kind kind = Kind::gossip;
+  MessageKind kind = MessageKind::gossip;
   std::string fleet;
   std::string sender;
   std::uint64_t instance = 0;  // of the sender
@@ -51,6 +59,6 @@
 std::string encode(const Record& record);
 // `records` are encoded ones, put behind the message's own.
 std::string encode(const Message& message, const std::vector<std::string>& records = {});
-std::variant<Message, Drop> decode(std::string_view bytes, std::size_t most);
+std::variant<Message, DropReason> decode(std::string_view bytes, std::size_t most);
 
 }  // namespace valedrum::membership
--- a/recovery/disk.cpp
+++ b/recovery/disk.cpp
@@ -11,15 +11,16 @@
 
 namespace valedrum::recovery {
 
-Replaced replace(Disk& disk, const std::string& name, std::string_view bytes, Durability durability) {
+ReplaceResult replace_file(Disk& disk, const std::string& name, std::string_view bytes,
+                           Durability durability) {
   const std::string fresh = name + ".new";
   const bool power = durability == Durability::power;
   disk.remove(fresh);
   if (!disk.append(fresh, bytes) || (power && !disk.sync(fresh)) || !disk.rename(fresh, name)) {
     disk.remove(fresh);
-    return Replaced::no;
+    return ReplaceResult::failed;
   }
-  return !power || disk.sync_names() ? Replaced::yes : Replaced::unsynced;
+  return !power || disk.sync_directory() ? ReplaceResult::replaced : ReplaceResult::unsynced;
 }
 
 // --------------------------------------------------------------------------------------------- real
@@ -76,7 +77,7 @@
   return file >= 0 && myrtlegrade::write_all(file, bytes);
 }
 
-bool RealDisk::cut(const std::string& name, std::uint64_t size) {
+bool RealDisk::truncate(const std::string& name, std::uint64_t size) {
   const int file = open(name);
   return file >= 0 && uninterrupted([&] { return ::ftruncate(file, static_cast<off_t>(size)); }) == 0;
 }
@@ -101,7 +102,7 @@
   return file >= 0 && uninterrupted([&] { return ::fdatasync(file); }) == 0;
 }
 
-bool RealDisk::sync_names() {
+bool RealDisk::sync_directory() {
   const int folder = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (folder < 0) return false;
   const bool synced = uninterrupted([&] { return ::fsync(folder); }) == 0;
@@ -129,7 +130,7 @@
 }  // namespace
 
 void FakeDisk::operation() {
-  if (last_ != 0 && operations_ >= last_) throw Cut{};
+  if (last_ != 0 && operations_ >= last_) throw PowerLoss{};
   ++operations_;
 }
 
@@ -148,7 +149,7 @@
   return sum;
 }
 
-std::uint64_t FakeDisk::size(const std::string& name) const {
+std::uint64_t FakeDisk::file_size(const std::string& name) const {
   const auto found = names_.find(name);
   return found == names_.end() ? 0 : found->second->now.size();
 }
@@ -164,30 +165,30 @@
   File& f = file(name);
   try {
     operation();
-  } catch (const Cut&) {
+  } catch (const PowerLoss&) {
     f->now += bytes.substr(0, bytes.size() / 2);
     throw;
   }
-  if (faults.fails) {
+  if (faults.writes_fail) {
     f->now += bytes.substr(0, bytes.size() / 2);
     return false;
   }
   const std::uint64_t used = this->bytes();
-  const std::uint64_t room = faults.full_at > used ? faults.full_at - used : 0;
+  const std::uint64_t room = faults.capacity_bytes > used ? faults.capacity_bytes - used : 0;
   f->now += bytes.substr(0, std::min<std::uint64_t>(bytes.size(), room));
   return bytes.size() <= room;
 }
 
-bool FakeDisk::cut(const std::string& name, std::uint64_t size) {
+bool FakeDisk::truncate(const std::string& name, std::uint64_t size) {
   operation();
-  if (faults.fails) return false;
+  if (faults.writes_fail) return false;
   file(name)->now.resize(size);
   return true;
 }
 
 bool FakeDisk::rename(const std::string& from, const std::string& to) {
   operation();
-  if (faults.fails) return false;
+  if (faults.writes_fail) return false;
   const auto found = names_.find(from);
   if (found == names_.end()) return false;
   names_[to] = found->second;
@@ -203,20 +204,20 @@
 
 bool FakeDisk::sync(const std::string& name) {
   operation();
-  if (faults.fails) return false;
+  if (faults.writes_fail) return false;
   const File& f = file(name);
-  if (faults.fail_sync != 0 && ++syncs_ == faults.fail_sync) {
+  if (faults.failing_sync != 0 && ++syncs_ == faults.failing_sync) {
     f->now = f->synced;  // the pages were dropped, as kernels do: a later sync has nothing to say of them
     return false;
   }
-  if (!faults.syncs_lie) f->synced = f->now;
+  if (!faults.sync_is_noop) f->synced = f->now;
   return true;
 }
 
-bool FakeDisk::sync_names() {
+bool FakeDisk::sync_directory() {
   operation();
-  if (faults.fails || faults.sync_names_fails) return false;
-  if (faults.names_lie) return true;
+  if (faults.writes_fail || faults.directory_sync_fails) return false;
+  if (faults.directory_sync_is_noop) return true;
   synced_names_ = names_;
   changes_.clear();
   return true;
@@ -226,7 +227,7 @@
   return [this, name] { return sync(name); };
 }
 
-void FakeDisk::lose_power(const Draw& draw) {
+void FakeDisk::lose_power(const RandomBelow& draw) {
   last_ = 0;
   const std::uint32_t kept = draw(static_cast<std::uint32_t>(changes_.size()) + 1);
   names_ = kept == 0 ? synced_names_ : changes_[kept - 1];
@@ -259,7 +260,7 @@
   }
 }
 
-void FakeDisk::flip(const std::string& name, std::uint64_t byte) {
+void FakeDisk::flip_bit(const std::string& name, std::uint64_t byte) {
   std::string& text = file(name)->now;
   text[byte] = static_cast<char>(text[byte] ^ 0x10);
 }
--- a/relay/copies_file.cpp
+++ b/relay/copies_file.cpp
@@ -39,7 +39,7 @@
   wall_ = stored_.wall.value_or(wall);
   behind_ = boot != 0 && !stored_.wall;  // written anew before anything goes behind what another clock wrote
   errno = 0;
-  if (!disk_.cut(kName, size_))
+  if (!disk_.truncate(kName, size_))
     throw std::system_error(errno, std::generic_category(), "PROXY_STATE: copies");
 }
 
@@ -53,7 +53,7 @@
   if ((anew || behind_) && rewrite(snapshot())) return true;
   if (behind_) return false;
   if (after > most_ || !disk_.append(kName, all)) {
-    (void)disk_.cut(kName, size_);
+    (void)disk_.truncate(kName, size_);
     behind_ = true;
     return false;
   }
@@ -67,11 +67,11 @@
   std::string text = snapshot;
   if (durability_ == recovery::Durability::power) text += copies::record_of_synced(0);
   if (size_ + text.size() > most_) return false;
-  const recovery::Replaced replaced = recovery::replace(disk_, kName, text, durability_);
-  if (replaced == recovery::Replaced::no) return false;
+  const recovery::ReplaceResult replaced = recovery::replace_file(disk_, kName, text, durability_);
+  if (replaced == recovery::ReplaceResult::failed) return false;
   size_ = written_anew_ = text.size();
   synced_ = told_ = 0;
-  behind_ = replaced == recovery::Replaced::unsynced;  // written anew until the name is known to last
+  behind_ = replaced == recovery::ReplaceResult::unsynced;  // written anew until the name is known to last
   return !behind_;
 }
 
--- a/relay/fleet.cpp
+++ b/relay/fleet.cpp
@@ -53,7 +53,7 @@
   // A copied configuration has a copied seed: two processes must not pass for one.
   std::random_device device;
   self.instance = seed ^ (std::uint64_t{device()} << 32 | device());
-  const bool kept = config.settings.without != membership::Without::incarnation;
+  const bool kept = config.settings.disabled_safeguard != membership::DisabledSafeguard::incarnation;
   self.stamp.incarnation = kept ? identity_.incarnation() + 1 : 1;
   self.address = config.advertise;
   members_.emplace(config.settings, std::move(self), seed, now());
@@ -137,8 +137,8 @@
     datagrams_.send_to(asio::buffer(d.bytes), {ip_of(d.to), d.to.port}, 0, error);
     if (error) ++unsent_;
   }
-  for (membership::Ask& a : members_->take_asks()) spawn(executor_, ask(std::move(a)));
-  for (const membership::Change& c : members_->take_changes()) log(c);
+  for (membership::StreamRequest& a : members_->take_stream_requests()) spawn(executor_, ask(std::move(a)));
+  for (const membership::ViewEvent& c : members_->take_view_events()) log(c);
   arm();
   if (on_change_ && std::exchange(told_version_, members_->version()) != members_->version())
     on_change_(*members_);
@@ -155,7 +155,7 @@
   on_change_(*members_);
 }
 
-void Fleet::log(const membership::Change& c) {
+void Fleet::log(const membership::ViewEvent& c) {
   const auto at = SteadyClock::now();
   if (at > lines_from_ + 10s) {
     if (lines_left_out_ > 0)
@@ -167,7 +167,8 @@
     ++lines_left_out_;
     return;
   }
-  std::cerr << "myrtlegrade: fleet: " << c.name << (c.name.empty() ? "" : " ") << c.what << std::endl;
+  std::cerr << "myrtlegrade: fleet: " << c.member << (c.member.empty() ? "" : " ") << c.description
+            << std::endl;
 }
 
 void Fleet::arm() {
@@ -228,7 +229,7 @@
   served_.remove(stream);
 }
 
-asio::awaitable<void> Fleet::ask(membership::Ask a) {
+asio::awaitable<void> Fleet::ask(membership::StreamRequest a) {
   const auto self = shared_from_this();
   const auto stream = std::make_shared<boost::beast::tcp_stream>(executor_);
   asking_ = stream;
@@ -250,9 +251,9 @@
   if (asking_ == stream) asking_ = nullptr;
   if (stopped_) co_return;
   if (reply) {
-    members_->answered(now(), a.token, *reply);
+    members_->on_response(now(), a.token, *reply);
   } else {
-    members_->unanswered(now(), a.token);
+    members_->on_request_failed(now(), a.token);
   }
   turn();
 }
@@ -266,7 +267,7 @@
                    {"address", to_text(r.address)},
                    {"incarnation", r.stamp.incarnation},
                    {"revision", r.stamp.revision}};
-    if (r.rival) o["rival"] = to_text(r.rival);
+    if (r.conflicting_address) o["rival"] = to_text(r.conflicting_address);
     if (r.published_version > 0) o["published_version"] = r.published_version;
     return o;
   };
@@ -275,31 +276,31 @@
   };
   json::array members{row(members_->self())};
   for (const auto& [name, e] : members_->others().entries()) members.push_back(row(e.record));
-  const membership::Reach reach = members_->reach(now());
+  const membership::Reachability reach = members_->reachability(now());
   const membership::Counters& c = members_->counters();
   json::object dropped;
-  for (std::size_t i = 0; i < membership::kDrops; ++i) {
-    dropped[std::string(name_of(static_cast<membership::Drop>(i)))] = c.dropped[i];
+  for (std::size_t i = 0; i < membership::kDropReasons; ++i) {
+    dropped[std::string(name_of(static_cast<membership::DropReason>(i)))] = c.dropped[i];
   }
   char digest[24];
   std::snprintf(digest, sizeof digest, "%016llx", static_cast<unsigned long long>(members_->digest()));
   return json::serialize(json::object{{"fleet", config_.settings.fleet},
                                       {"name", members_->self().name},
-                                      {"settled", members_->settled()},
-                                      {"looks_on", members_->yielded()},
+                                      {"settled", members_->joined()},
+                                      {"looks_on", members_->is_observer()},
                                       {"version", members_->version()},
                                       {"digest", digest},
-                                      {"doubt", members_->doubt()},
+                                      {"doubt", members_->local_health_score()},
                                       {"reach",
                                        {{"reachable", reach.reachable},
                                         {"known", reach.known},
                                         {"share", reach.share()},
-                                        {"lessened_ms", ms(reach.lessened)},
-                                        {"minority_ms", ms(reach.minority)}}},
+                                        {"lessened_ms", ms(reach.reduced_since)},
+                                        {"minority_ms", ms(reach.minority_since)}}},
                                       {"counters",
                                        {{"probes", c.probes},
-                                        {"unanswered", c.unanswered},
-                                        {"asked_others", c.asked_others},
+                                        {"unanswered", c.failed_probes},
+                                        {"asked_others", c.indirect_probe_requests},
                                         {"suspicions", c.suspicions},
                                         {"refutations", c.refutations},
                                         {"deaths", c.deaths},
--- a/relay/fleet.h
+++ b/relay/fleet.h
@@ -47,12 +47,12 @@
   static valedrum::membership::Time now();
   bool open();
   void turn();  // after each thing that happened: disk first, then what is to be sent
-  void log(const valedrum::membership::Change& change);
+  void log(const valedrum::membership::ViewEvent& change);
   void arm();
   void await_datagrams();
   boost::asio::awaitable<void> accept();
   boost::asio::awaitable<void> serve(Stream stream);
-  boost::asio::awaitable<void> ask(valedrum::membership::Ask ask);
+  boost::asio::awaitable<void> ask(valedrum::membership::StreamRequest ask);
 
   boost::asio::any_io_executor executor_;
   FleetConfig config_;
--- a/relay/fleet_config.cpp
+++ b/relay/fleet_config.cpp
@@ -57,11 +57,11 @@
       {"advertise", address_of(&FleetConfig::advertise)},
       {"machine", text_of(&FleetConfig::machine)},
       {"zone", text_of(&FleetConfig::zone)},
-      {"probe_ms", span_of<milliseconds>(&S::probe_every)},
-      {"ack_ms", span_of<milliseconds>(&S::ack_within)},
-      {"tombstone_s", span_of<seconds>(&S::tombstone)},
-      {"reconnect_s", span_of<seconds>(&S::reconnect_most)},
-      {"indirect", number_of(&S::indirect)},
+      {"probe_ms", span_of<milliseconds>(&S::probe_interval)},
+      {"ack_ms", span_of<milliseconds>(&S::ack_timeout)},
+      {"tombstone_s", span_of<seconds>(&S::tombstone_retention)},
+      {"reconnect_s", span_of<seconds>(&S::max_reconnect_interval)},
+      {"indirect", number_of(&S::indirect_probes)},
       {"confirmations", number_of(&S::confirmations)},
       {"seeds",
        [](FleetConfig& c, const json::value& v, std::string_view f) {
@@ -71,10 +71,10 @@
 #ifdef VALEDRUM_BREAKABLE  // a build of the tests alone: they have to see that what is broken is noticed
       {"without",
        [](FleetConfig& c, const json::value& v, std::string_view f) {
-         const auto* named =
-             std::ranges::find(membership::kWithoutNames, fields::text(v, f), &membership::WithoutName::name);
-         if (named == std::end(membership::kWithoutNames)) fields::reject(f, "no such part");
-         c.settings.without = named->without;
+         const auto* named = std::ranges::find(membership::kDisabledSafeguardNames, fields::text(v, f),
+                                               &membership::DisabledSafeguardName::name);
+         if (named == std::end(membership::kDisabledSafeguardNames)) fields::reject(f, "no such part");
+         c.settings.disabled_safeguard = named->disabled_safeguard;
        }},
 #endif
   };
@@ -90,8 +90,8 @@
   if (!c.bind) fields::reject("fleet.bind", "missing");
   if (!c.advertise) c.advertise = c.bind;
   if (c.machine.empty()) c.machine = boost::asio::ip::address_v4(c.advertise.ip).to_string();
-  if (c.machine.size() > membership::kMostName) fields::reject("fleet.machine", "has more than 64 bytes");
-  if (c.zone.size() > membership::kMostZone) fields::reject("fleet.zone", "has more than 32 bytes");
+  if (c.machine.size() > membership::kMaxNameBytes) fields::reject("fleet.machine", "has more than 64 bytes");
+  if (c.zone.size() > membership::kMaxZoneBytes) fields::reject("fleet.zone", "has more than 32 bytes");
   try {
     membership::check(c.settings);
   } catch (const std::invalid_argument& e) {
@@ -120,7 +120,7 @@
     throw std::runtime_error(folder_ + "/fleet is of a later program");
   const std::string of = in.text(), who = in.text();
   const std::uint64_t incarnation = in.number();
-  if (!in.good || !in.empty() || incarnation > membership::kMostIncarnation) return "it is damaged";
+  if (!in.good || !in.empty() || incarnation > membership::kMaxIncarnation) return "it is damaged";
   if (of != fleet_ || who != name_) return "it is another member's";
   incarnation_ = incarnation;
   return nullptr;
--- a/relay/fleet_stream.h
+++ b/relay/fleet_stream.h
@@ -31,7 +31,7 @@
   if (error) co_return std::nullopt;
   std::size_t size = 0;
   for (std::size_t i = 0; i < kFrameHead; ++i) size |= static_cast<std::size_t>(head[i]) << (8 * i);
-  if (size == 0 || size > valedrum::membership::kMostFrame) co_return std::nullopt;
+  if (size == 0 || size > valedrum::membership::kMaxFrameBytes) co_return std::nullopt;
   std::string frame(size, '\0');
   const auto [cut, got] = co_await boost::asio::async_read(stream, boost::asio::buffer(frame), kAwaitFrame);
   if (cut) co_return std::nullopt;
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -61,9 +61,9 @@
   // Also behind what an earlier program wrote: it must not cut off the records that it does not know.
   if (format_ < kJournalFormat) append({}, Writer(Kind::format).number(kJournalFormat).record());
   // A torn tail would hide every record behind it.
-  if (!try_for_a_while([&] { return disk_->cut(kName, size_); }))
+  if (!try_for_a_while([&] { return disk_->truncate(kName, size_); }))
     throw std::system_error(errno, std::generic_category(), "PROXY_STATE: journal");
-  const auto synced = [&] { return disk_->sync(kName) && disk_->sync_names(); };
+  const auto synced = [&] { return disk_->sync(kName) && disk_->sync_directory(); };
   if (durability_ == recovery::Durability::power && !try_for_a_while(synced))
     throw std::system_error(errno, std::generic_category(), "PROXY_STATE: journal can't be synced");
 }
@@ -291,7 +291,7 @@
 
 // Half a record would hide all that is appended behind it.
 bool Journal::cut_back() {
-  if (torn_) torn_ = !disk_->cut(kName, size_);
+  if (torn_) torn_ = !disk_->truncate(kName, size_);
   return !torn_;
 }
 
@@ -310,11 +310,11 @@
   std::string text = live_records();
   if (std::string all = text + ended_records(); fits(all)) text = std::move(all);
   if (!fits(text)) return;
-  const recovery::Replaced replaced = recovery::replace(*disk_, kName, text, durability_);
-  if (replaced == recovery::Replaced::no) return;
+  const recovery::ReplaceResult replaced = recovery::replace_file(*disk_, kName, text, durability_);
+  if (replaced == recovery::ReplaceResult::failed) return;
   size_ = text.size();
   torn_ = false;
-  must_rewrite_ = replaced == recovery::Replaced::unsynced;
+  must_rewrite_ = replaced == recovery::ReplaceResult::unsynced;
   pending_written();
 }
 
--- a/relay/succession.cpp
+++ b/relay/succession.cpp
@@ -242,7 +242,7 @@
   fleet_->on_change([this, net = relay_->copies()](const membership::Membership& members) {
     std::vector<copies::Candidate> all;
     const auto takes = [](const membership::Record& r) { return r.published_version == copies::kFormat; };
-    for (const membership::Record& r : members.usable(takes)) {
+    for (const membership::Record& r : members.healthy_members(takes)) {
       const auto said = copies::decode_published(r.published);
       if (said) all.push_back({{r.name, said->life, said->address}, r.machine, r.zone, said->room});
     }
--- a/tests/fleet_view_test.cpp
+++ b/tests/fleet_view_test.cpp
@@ -103,7 +103,7 @@
   }
   // Longer than what is dead is remembered for: then seeds and remembered addresses find the others.
   FleetOptions brief;
-  brief.settings.tombstone = 60s;
+  brief.settings.tombstone_retention = 60s;
   EXPECT_GE(play({fault("split", 10, 150, "part = 0.4\nsize = 2")}, 12, brief).result.settled, 0);
 }
 
@@ -178,9 +178,10 @@
   EXPECT_EQ(search_fleet(options).broken, 0U);
   options.until_broken = true;
   options.days = 150;
-  for (const fleet::Without without : {fleet::Without::refutation, fleet::Without::tombstones,
-                                       fleet::Without::incarnation, fleet::Without::anti_entropy}) {
-    options.settings.without = without;
+  for (const fleet::DisabledSafeguard without :
+       {fleet::DisabledSafeguard::refutation, fleet::DisabledSafeguard::tombstones,
+        fleet::DisabledSafeguard::incarnation, fleet::DisabledSafeguard::anti_entropy}) {
+    options.settings.disabled_safeguard = without;
     const FleetFound found = search_fleet(options);
     EXPECT_GT(found.broken, 0U) << static_cast<int>(without);
     EXPECT_TRUE(found.scenario && !found.how.empty());
@@ -188,17 +189,18 @@
 }
 
 TEST(FleetSearch, AMemberThatNeverDoubtsItselfAccusesOthers) {
-  std::map<fleet::Without, std::uint64_t> accused;
-  for (const fleet::Without w : {fleet::Without::nothing, fleet::Without::self_doubt}) {
+  std::map<fleet::DisabledSafeguard, std::uint64_t> accused;
+  for (const fleet::DisabledSafeguard w :
+       {fleet::DisabledSafeguard::none, fleet::DisabledSafeguard::local_health}) {
     FleetOptions options;
-    options.settings.without = w;
+    options.settings.disabled_safeguard = w;
     std::vector<std::string> stalls;
     for (int at = 10; at < 150; at += 6) stalls.push_back(fault("stall", at, 4.5, "part = 0.2"));
     const Seen seen = play(stalls, 30, options, "loss = 0.02");
     accused[w] = seen.result.false_suspicions;
     EXPECT_EQ(seen.result.false_deaths, 0U);
   }
-  EXPECT_GT(accused[fleet::Without::self_doubt], 5 * accused[fleet::Without::nothing]);
+  EXPECT_GT(accused[fleet::DisabledSafeguard::local_health], 5 * accused[fleet::DisabledSafeguard::none]);
 }
 
 // ------------------------------------------------------------------------------------------ single members
@@ -226,7 +228,7 @@
   fleet::Membership m(settings(), member("a", 1), 1, at(0));
   m.wake(at(1));
   fleet::Message ping;
-  ping.kind = fleet::Kind::ping;
+  ping.kind = fleet::MessageKind::ping;
   ping.fleet = "f";
   ping.sender = "b";
   ping.instance = 9;
@@ -241,8 +243,8 @@
   ping.fleet = "f";
   ping.target = "c";
   const std::string elsewhere = encode(ping);
-  using D = fleet::Drop;
-  const std::pair<std::string, D> cases[] = {{newer, D::newer},
+  using D = fleet::DropReason;
+  const std::pair<std::string, D> cases[] = {{newer, D::newer_version},
                                              {flipped, D::damaged},
                                              {foreign, D::foreign},
                                              {other, D::other_fleet},
@@ -255,7 +257,7 @@
     EXPECT_EQ(m.counters().dropped[static_cast<std::size_t>(why)], before + 3) << name_of(why);
     EXPECT_TRUE(m.take_datagrams().empty()) << name_of(why);
   }
-  EXPECT_EQ(m.take_changes().size(), 1 + 6U);  // that it is alive, and a line for each kind of the six
+  EXPECT_EQ(m.take_view_events().size(), 1 + 6U);  // that it is alive, and a line for each kind of the six
   for (std::size_t n = 0; n < good.size(); ++n)
     EXPECT_TRUE(std::holds_alternative<D>(fleet::decode(good.substr(0, n), 1200)));
   m.receive(at(1.2), {7, 1}, good);
@@ -268,22 +270,23 @@
   fleet::Record r = member("name", 5);
   r.state = fleet::State::dead;
   r.accusers = {"x", "y"};
-  r.rival = {6, 7};
+  r.conflicting_address = {6, 7};
   r.published_version = 3;
-  r.published = std::string(fleet::kMostPublished, '\0');
+  r.published = std::string(fleet::kMaxPublishedBytes, '\0');
   r.gone_for = 90s;
   fleet::Message m;
-  m.kind = fleet::Kind::push;
+  m.kind = fleet::MessageKind::push;
   m.fleet = "f";
   m.sender = "s";
   m.records = {r};
-  const auto read = fleet::decode(encode(m), fleet::kMostFrame);
+  const auto read = fleet::decode(encode(m), fleet::kMaxFrameBytes);
   ASSERT_TRUE(std::holds_alternative<fleet::Message>(read));
   const fleet::Record& back = std::get<fleet::Message>(read).records.at(0);
   EXPECT_EQ(std::tie(back.name, back.machine, back.zone, back.instance, back.stamp, back.address, back.state),
             std::tie(r.name, r.machine, r.zone, r.instance, r.stamp, r.address, r.state));
-  EXPECT_EQ(std::tie(back.rival, back.published_version, back.published, back.accusers, back.gone_for),
-            std::tie(r.rival, r.published_version, r.published, r.accusers, r.gone_for));
+  EXPECT_EQ(std::tie(back.conflicting_address, back.published_version, back.published, back.accusers,
+                     back.gone_for),
+            std::tie(r.conflicting_address, r.published_version, r.published, r.accusers, r.gone_for));
 }
 
 // Two that exchange by hand: what one publishes the other has, and what is reachable is told as it is.
@@ -300,12 +303,12 @@
           fleet::Membership& to = from == &a ? b : a;
           for (const auto& d : from->take_datagrams())
             if (connected) to.receive(at(now), from->self().address, d.bytes);
-          for (const auto& q : from->take_asks()) {
+          for (const auto& q : from->take_stream_requests()) {
             const std::string reply = connected ? to.serve(at(now), q.frame) : "";
             if (reply.empty())
-              from->unanswered(at(now), q.token);
+              from->on_request_failed(at(now), q.token);
             else
-              from->answered(at(now), q.token, reply);
+              from->on_response(at(now), q.token, reply);
           }
         }
       }
@@ -316,19 +319,19 @@
   ASSERT_TRUE(b.others().find("a"));
   EXPECT_EQ(b.others().find("a")->record.published, "room=5");
   EXPECT_EQ(a.digest(), b.digest());
-  EXPECT_EQ(b.reach(at(now)).share(), 1);
-  EXPECT_EQ(b.usable([](const fleet::Record& r) { return r.machine != "m-b"; }).size(), 1U);
+  EXPECT_EQ(b.reachability(at(now)).share(), 1);
+  EXPECT_EQ(b.healthy_members([](const fleet::Record& r) { return r.machine != "m-b"; }).size(), 1U);
   const std::uint64_t version = b.version();
   run(60, false);
   EXPECT_GT(b.version(), version);
-  EXPECT_EQ(b.reach(at(now)).reachable, 1U);
-  EXPECT_EQ(b.reach(at(now)).known, 2U);
-  EXPECT_TRUE(b.reach(at(now)).minority);
-  EXPECT_TRUE(b.usable([](const fleet::Record&) { return true; }).empty());
+  EXPECT_EQ(b.reachability(at(now)).reachable, 1U);
+  EXPECT_EQ(b.reachability(at(now)).known, 2U);
+  EXPECT_TRUE(b.reachability(at(now)).minority_since);
+  EXPECT_TRUE(b.healthy_members([](const fleet::Record&) { return true; }).empty());
   run(120, true);
-  EXPECT_EQ(b.reach(at(now)).share(), 1);
-  EXPECT_FALSE(b.reach(at(now)).minority);
-  EXPECT_THROW(a.publish(at(now), 1, std::string(fleet::kMostPublished + 1, 'x')), std::invalid_argument);
+  EXPECT_EQ(b.reachability(at(now)).share(), 1);
+  EXPECT_FALSE(b.reachability(at(now)).minority_since);
+  EXPECT_THROW(a.publish(at(now), 1, std::string(fleet::kMaxPublishedBytes + 1, 'x')), std::invalid_argument);
 }
 
 }  // namespace
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -112,11 +112,11 @@
     for (std::uint32_t outcome = 0; outcome < 6; ++outcome) {
       FakeDisk disk;
       disk.faults = faults;
-      disk.power_goes_at(at);
+      disk.schedule_power_loss(at);
       Told told;
       try {
         play(disk, told, broken);
-      } catch (const FakeDisk::Cut&) {
+      } catch (const FakeDisk::PowerLoss&) {
       } catch (const std::system_error&) {  // it does not start on such a disk
       }
       std::mt19937 engine(static_cast<unsigned>(at * 8 + outcome));
@@ -141,7 +141,7 @@
 TEST(PowerLoss, AFailedSyncIsNotTakenForOneThatWorked) {
   for (const std::uint64_t n : {3, 10, 40}) {
     DiskFaults faults;
-    faults.fail_sync = n;
+    faults.failing_sync = n;
     const Explored all = explore(Broken::nothing, faults);
     EXPECT_EQ(all.broken, 0U) << all.first;
   }
@@ -149,7 +149,7 @@
 
 TEST(PowerLoss, AFullDiskTakesNothingOn) {
   DiskFaults faults;
-  faults.full_at = 40'000;
+  faults.capacity_bytes = 40'000;
   const Explored all = explore(Broken::nothing, faults);
   EXPECT_EQ(all.broken, 0U) << all.first;
 }
@@ -158,13 +158,13 @@
   EXPECT_GT(explore(Broken::sync_left_out, {}, true).broken, 0U);
   EXPECT_GT(explore(Broken::told_before_sync, {}, true).broken, 0U);
   DiskFaults lies;
-  lies.syncs_lie = true;
+  lies.sync_is_noop = true;
   EXPECT_GT(explore(Broken::nothing, lies, true).broken, 0U);
   DiskFaults names;
-  names.names_lie = true;
+  names.directory_sync_is_noop = true;
   EXPECT_GT(explore(Broken::nothing, names, true).broken, 0U);
   DiskFaults error;
-  error.fail_sync = 10;
+  error.failing_sync = 10;
   EXPECT_GT(explore(Broken::sync_error_ignored, error, true).broken, 0U);
 }
 
@@ -199,12 +199,12 @@
     Journal journal(disk, kMost, GetParam());
     journal.accept(stored("before"));
     ASSERT_TRUE(journal.flush());
-    disk.faults.fails = true;
+    disk.faults.writes_fail = true;
     journal.accept(stored("meanwhile"));
     EXPECT_FALSE(journal.flush());
     EXPECT_FALSE(journal.has_room(100));
     EXPECT_FALSE(flush_again(journal));
-    disk.faults.fails = false;
+    disk.faults.writes_fail = false;
     EXPECT_TRUE(flush_again(journal));
     EXPECT_TRUE(journal.has_room(100));
     journal.accept(stored("after"));
@@ -218,11 +218,11 @@
   FakeDisk disk;
   {
     Journal journal(disk, kMost, GetParam());
-    disk.faults.fails = true;
+    disk.faults.writes_fail = true;
     journal.accept(stored("refused"));
     EXPECT_FALSE(journal.flush());
     journal.end("refused");
-    disk.faults.fails = false;
+    disk.faults.writes_fail = false;
     journal.accept(stored("next"));
     EXPECT_TRUE(flush_again(journal));
   }
@@ -234,14 +234,14 @@
   FakeDisk disk;
   {
     Journal journal(disk, kMost, Durability::power);
-    disk.faults.sync_names_fails = true;
+    disk.faults.directory_sync_fails = true;
     for (int n = 0; n < 400; ++n) {  // until it is written anew
       journal.accept(stored(number(n)));
       if (!journal.flush()) break;
       journal.end(number(n));
     }
     ASSERT_TRUE(journal.failing()) << "no compaction came";
-    disk.faults.sync_names_fails = false;
+    disk.faults.directory_sync_fails = false;
     EXPECT_TRUE(flush_again(journal));
     journal.accept(stored("after"));
     EXPECT_TRUE(journal.flush());
@@ -256,12 +256,12 @@
     Journal journal(disk, kMost, Durability::power);
     journal.accept(stored("covered"));
     ASSERT_TRUE(journal.flush());
-    disk.faults.fails = true;
+    disk.faults.writes_fail = true;
     EXPECT_FALSE(journal.sync_later()());
     journal.sync_failed();
     EXPECT_FALSE(journal.has_room(100));
     EXPECT_FALSE(journal.flush());
-    disk.faults.fails = false;
+    disk.faults.writes_fail = false;
     EXPECT_TRUE(flush_again(journal));
     EXPECT_TRUE(journal.has_room(100));
   }
@@ -283,7 +283,7 @@
   for (std::uint64_t at = 1; at < 140; ++at) {
     for (std::uint32_t outcome = 0; outcome < 8; ++outcome) {
       FakeDisk disk;
-      disk.power_goes_at(at);
+      disk.schedule_power_loss(at);
       std::uint64_t acknowledged = 0, promised = 1;
       std::map<std::string, copies::Item> items;
       const auto snapshot = [&] {
@@ -309,7 +309,7 @@
           file.synced(size);
           acknowledged = n;
         }
-      } catch (const FakeDisk::Cut&) {
+      } catch (const FakeDisk::PowerLoss&) {
       }
       std::mt19937 engine(static_cast<unsigned>(at * 8 + outcome));
       disk.lose_power([&](std::uint32_t below) { return static_cast<std::uint32_t>(engine() % below); });
@@ -336,7 +336,7 @@
       file.synced(file.size());
     }
   }
-  disk.flip("copies", disk.size("copies") / 2);
+  disk.flip_bit("copies", disk.file_size("copies") / 2);
   EXPECT_EQ(CopiesFile(disk, "n0", 100'000, Durability::power, {}).take().life, 0U);
 }
 
