--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -85,7 +85,7 @@
   } else if (effect != "at_most_once") {
     reject(line.name(), at + "idempotency", "unknown effect");
   }
-  c.in_turn = line.find(at + "inTurn") && line.flag(at + "inTurn");
+  c.ordered = line.find(at + "inTurn") && line.flag(at + "inTurn");
   return c;
 }
 
@@ -168,16 +168,16 @@
   if (line.find("balancers")) s.relays = static_cast<std::uint32_t>(line.integer("balancers", most));
   s.wait_hints = line.flag("allowed.retryAfter");
   s.list_on_request = line.text("discovery") == "subscribe";
-  s.halving = line.text("familyInfo.losesWorth") == "halving";
+  s.late_worth_halves = line.text("familyInfo.losesWorth") == "halving";
   s.over_share_worth = line.number("overShareWorth");
   s.start_capacity = line.number("rules.startCapacity");
   s.overload_factor = line.number("rules.overloadFactor");
-  s.overload_for = line.span("rules.overloadFor");
-  s.warm_after = line.span("rules.warmAfter");
+  s.overload_window = line.span("rules.overloadFor");
+  s.slow_start_duration = line.span("rules.warmAfter");
   s.max_wait_hint = line.span("allowed.maxRetryAfter");
   s.connection_idle = line.span("allowed.connIdle");
-  if (line.find("rules.orderSettle")) s.order_settle = line.span("rules.orderSettle");
-  if (s.list_on_request) s.list_within = std::min(line.span("rules.askWithin"), kTold);
+  if (line.find("rules.orderSettle")) s.ordered_key_delay = line.span("rules.orderSettle");
+  if (s.list_on_request) s.list_request_interval = std::min(line.span("rules.askWithin"), kTold);
   s.tick = line.span("tick");
   if (const auto zone = line.find("zone"); zone && !zone->empty())
     s.zone = ZoneId(dialect.zones.number(*zone));
@@ -318,12 +318,12 @@
           return "END_FAILED ticket=" + id(a.id);
         } else if constexpr (std::is_same_v<A, SetTimer>) {
           return "SCHEDULE name=" + number_text(a.token) + " fromNow=" + span_text(a.after);
-        } else if constexpr (std::is_same_v<A, CloseIdle>) {
+        } else if constexpr (std::is_same_v<A, CloseIdleConnections>) {
           return "FREE_LINKS host=" + dialect.hosts.name(static_cast<std::uint32_t>(a.host));
-        } else if constexpr (std::is_same_v<A, PutAway>) {
+        } else if constexpr (std::is_same_v<A, EvictDestination>) {
           throw std::logic_error("a destination put away though no bound is set");
         } else {
-          static_assert(std::is_same_v<A, WatchList>);
+          static_assert(std::is_same_v<A, SubscribeHostList>);
           return "WATCH active=1";
         }
       },
--- a/include/vetchhinge/policy.h
+++ b/include/vetchhinge/policy.h
@@ -1,4 +1,5 @@
-// The interface of the decision module: settings, events in, actions out. No decision is made here.
+/// Public interface of the decision module: settings, input events and output actions of one relay's sender.
+/// The module does no I/O: the caller passes in what happened and carries out the returned actions.
 #pragma once
 
 #include <chrono>
@@ -13,7 +14,7 @@
 
 namespace vetchhinge {
 
-// The caller's clock: it only ever moves by what step() is told, and never reads the machine's time.
+/// The caller's monotonic clock. Time advances only through step(); the module never reads a system clock.
 struct Clock {
   using duration = std::chrono::microseconds;
   using rep = duration::rep;
@@ -24,59 +25,64 @@
 using Duration = Clock::duration;
 using Time = Clock::time_point;
 
-// Names are interned by the caller, one table for each Sender, in the order in which that Sender meets
-// them; the module sees numbers alone.
+// Identifiers are numbers that the caller assigns to names, from one table per Sender, in the order in which
+// that Sender first meets the names. The module never sees the names themselves.
 enum class MessageId : std::uint32_t {};
 enum class HostId : std::uint32_t {};
 enum class DestinationId : std::uint64_t {};
 enum class ZoneId : std::uint32_t {};
 
+/// What a repeated attempt does at the destination: nothing more (idempotent), nothing more within the
+/// deduplication window of the key (deduplicated), or it may take effect again, so that a message is never
+/// sent again once it may have run (at_most_once).
 enum class Effect { idempotent, deduplicated, at_most_once };
+
+/// Hosts that share the memory of deduplication keys: all hosts of the destination, or those of one zone.
 enum class KeyScope { all, zone };
 
 struct ClassSettings {
-  Duration aim{};       // delivered within this, a message earns its full worth
-  Duration deadline{};  // from the first hand-in to the end of its time
-  Duration window{};    // deduplicated: how long the destination remembers the key
+  Duration aim{};       // a message delivered within this time earns its full worth
+  Duration deadline{};  // from submission until the message expires
+  Duration window{};    // deduplicated: how long the destination remembers a key
   Effect effect = Effect::at_most_once;
   KeyScope scope = KeyScope::all;
-  bool in_turn = false;  // one at a time for each key, in the order taken
+  bool ordered = false;  // messages of one key are sent one at a time, in order of acceptance
   double worth = 1;
-  double late_worth = 0;  // share of the worth left at the deadline
+  double late_worth = 0;  // share of the worth that is left at the deadline
 };
 
 struct KindSettings {
-  bool routes_apart = false;  // every host has a limit, a pace and outages of its own
-  std::uint32_t batch = 1;    // messages that one call can carry
+  bool per_host_limits = false;  // each host has its own limit, rate limit and outages
+  std::uint32_t batch = 1;       // most messages in one call
 };
 
 struct TenantSettings {
-  double fraction = 1;  // of the service, as allotted
+  double fraction = 1;  // share of the service that is allotted to the tenant
 };
 
 struct Settings {
   std::uint64_t seed = 0;
-  std::uint32_t slots = 1;     // calls out at once
-  std::uint32_t max_open = 1;  // messages held, sent or not
+  std::uint32_t slots = 1;     // most calls in flight
+  std::uint32_t max_open = 1;  // most unfinished messages, queued or in flight
   std::uint32_t max_attempts = 1;
-  std::uint32_t relays = 1;  // that call the same destinations, this one among them
-  // Destinations of which the module keeps hosts and what it learned; 0: of all. It keeps more where none of
-  // them may be put away.
-  std::uint32_t most_destinations = 0;
-  bool wait_hints = false;       // clients are told how long to stay away
-  bool list_on_request = false;  // the list of hosts comes only when asked for
-  bool halving = false;          // late worth halves with each further aim; otherwise it falls evenly
-  double over_share_worth = 1;
-  double start_capacity = 1;   // share of its capacity that a destination has after an outage
-  double overload_factor = 1;  // multiple of the present capacity that pushes a cold one over
-  Duration overload_for{};
-  Duration warm_after{};
+  std::uint32_t relays = 1;  // relays that call the same destinations, including this one
+  // Most destinations whose hosts and learned state are kept; 0: no bound. The bound is exceeded while none
+  // of the destinations can be evicted.
+  std::uint32_t max_destinations = 0;
+  bool wait_hints = false;         // refused clients are told how long to wait
+  bool list_on_request = false;    // the list of hosts is sent only on request
+  bool late_worth_halves = false;  // late worth halves with each further `aim`; otherwise it falls linearly
+  double over_share_worth = 1;     // factor on the worth of messages from tenants over their fraction
+  double start_capacity = 1;       // share of its capacity that a destination has after an outage
+  double overload_factor = 1;      // multiple of its present capacity that overloads a host in slow start
+  Duration overload_window{};      // period over which that multiple is counted
+  Duration slow_start_duration{};
   Duration max_wait_hint{};
-  Duration connection_idle{};
-  Duration order_settle{};
-  Duration list_within{};        // ask for the list at least this often while not subscribed
-  Duration tick{};               // least time between two calls of step()
-  std::optional<ZoneId> zone{};  // that this relay is in, where it is told
+  Duration connection_idle{};        // idle connections are closed after this time
+  Duration ordered_key_delay{};      // pause of an ordered key after an attempt whose end is unknown
+  Duration list_request_interval{};  // longest time between requests for the list while not subscribed
+  Duration tick{};                   // shortest time between two calls of step()
+  std::optional<ZoneId> zone{};      // of this relay, if known
   std::vector<ClassSettings> classes;
   std::vector<KindSettings> kinds;
   std::vector<TenantSettings> tenants;
@@ -90,64 +96,71 @@
   ZoneId zone{};
   std::uint32_t kind = 0;  // index into Settings::kinds
   HostState state = HostState::running;
-  std::optional<double> rate{};  // calls a second that it takes from all senders, where the list tells it
+  std::optional<double> rate{};  // calls per second that it accepts from all senders, if the list states it
 };
 
+/// An update of the list of hosts, or the loss of the subscription to it.
 struct HostList {
   enum class Kind { changes, whole, cached, lost };
   Kind kind = Kind::whole;
   std::vector<HostEntry> entries;
-  Duration silent_for{};  // lost: how long nothing had come before that was seen
+  Duration silent_for{};  // lost: time without data before the loss was noticed
 };
 
-// An attempt of a message that was made before its relay restarted.
+/// An attempt that was made before the relay restarted.
 struct PastAttempt {
-  ZoneId zone{};  // of the host that it went to
+  ZoneId zone{};  // of the host that was called
   Time sent{};
-  bool may_have_run = false;  // also when its outcome was lost with the process
-  bool out = false;           // that process lives, and its call has no outcome yet
-  HostId host{};              // of what is out
-  std::uint64_t call = 0;     // attempts of equal number share one call
-  // Its relay may be stopped with the call out: nobody can tell when it ends, nor end it. Goes with
+  bool may_have_run = false;  // also if the outcome was lost with the process
+  bool in_flight = false;     // the process that made the call is alive and the call has not ended
+  HostId host{};              // of a call in flight
+  std::uint64_t call = 0;     // attempts with the same number share one call
+  // The relay that made the call may be frozen: nobody can end the call or tell whether it has ended. Implies
   // may_have_run.
-  bool astray = false;
+  bool orphaned = false;
 };
 
-// What is learned of hosts that share a limit, and of one host: what a process hands to the one that takes
-// its place.
-struct LaneMemory {
-  int cap = 1;
+/// Measured state of hosts that share a limit (a limit group).
+struct LimitGroupState {
+  int cap = 1;  // limit on calls in flight
   bool slow = false, failing = false;
-  int failures = 0;  // weight of those in a row, one after the other
-  int refusals = 0;  // in a row
-  Time refused_since{};
-  Time wait_until{}, pause_until{};  // told; ours, after refusals that told none
-  double pace = 0;                   // calls a second after a refusal; 0: free
-  Time pace_cut_at{};
-  double usual_p95 = 0;     // seconds; 0: not known yet
-  double usual_before = 0;  // calls a second before the outage that is on or just over
+  int failure_weight = 0;  // sum over consecutive failures
+  int consecutive_rejections = 0;
+  Time rejected_since{};
+  Time server_backoff_until{};  // as requested by the destination
+  Time local_backoff_until{};   // chosen here after rejections that requested no wait
+  double paced_rate = 0;        // rate limit after a rejection, in calls per second; 0: none
+  Time paced_rate_cut_at{};
+  double baseline_p95 = 0;        // seconds; 0: not known yet
+  double rate_before_outage = 0;  // calls per second before the current or most recent outage
 };
-struct HostMemory {
-  bool cold = false;
-  std::optional<Time> warm_since{};  // first success after the outage
-  int failures = 0;                  // weight of those in a row
-  Time retry_at{};                   // open circuit: next single call
+
+/// Measured health of one host.
+struct HostHealth {
+  bool in_slow_start = false;  // from the start of an outage until the host has full capacity again
+  std::optional<Time> slow_start_since{};  // first success after the outage
+  int failure_weight = 0;                  // sum over consecutive failures
+  Time retry_at{};                         // circuit breaker open: time of the next single call
   Time last_success{};
-  double budget = 0;  // calls that a cold host may still get
+  double slow_start_budget = 0;  // calls that the host may get at present while in slow start
 };
 
-// What an earlier process had learned, where it could still tell: for the first step, behind the list.
-struct LaneLearned : LaneMemory {
-  HostId host{};  // one of those that share a limit
-  double usual_rate = 0, arrivals = 0;
+/// Limit group as passed on by a previous process.
+struct LimitGroupSnapshot : LimitGroupState {
+  HostId host{};  // any host of the group
+  double baseline_rate = 0, arrival_rate = 0;
   std::vector<std::pair<Time, double>> latencies{};
 };
-struct HostLearned : HostMemory {
+
+/// Host as passed on by a previous process.
+struct HostSnapshot : HostHealth {
   HostId host{};
 };
-struct Learned {
-  std::vector<LaneLearned> lanes;
-  std::vector<HostLearned> hosts;
+
+/// Learned state of a previous process. It belongs into the first step, after the list of hosts.
+struct LearnedState {
+  std::vector<LimitGroupSnapshot> limit_groups;
+  std::vector<HostSnapshot> hosts;
 };
 
 struct Message {
@@ -157,30 +170,35 @@
   Time valid_until{};
   std::optional<std::uint32_t> tenant{};  // index into Settings::tenants
   std::optional<std::uint64_t> key{};
-  std::vector<PastAttempt> past{};  // numbered before those that follow
-  bool recovered = false;           // found at a start among what an earlier process had taken on
-  // The last of `past` may still be out at an earlier process: no other is made before EarlierCallsOver.
-  bool earlier_call_open = false;
+  std::vector<PastAttempt> past_attempts{};  // numbered before the attempts that follow
+  bool recovered = false;                    // accepted by a previous process and found at the start
+  // The last past attempt may still be in flight at a previous process: no other attempt is made before
+  // PredecessorCallsEnded.
+  bool predecessor_call_open = false;
 };
 
-// No earlier process has a call out any more, but for those that came as out with their messages.
-struct EarlierCallsOver {};
+/// No previous process has a call in flight any more, other than those passed in as in flight with their
+/// messages.
+struct PredecessorCallsEnded {};
 
 struct Timer {
   std::uint64_t token = 0;
 };
 
+/// How an attempt ended: `full` is a rejection for lack of capacity, `cancelled` an attempt that this side
+/// ended, and `not_sent` one of which nothing was sent.
 enum class Result { delivered, error, full, timed_out, connect_failed, reset, cancelled, not_sent };
 
+/// State of the rate limit of a destination, as reported in a response.
 struct LimitReport {
   double share_left = 0;
-  double calls_per_second = 0;  // 0 where there is no limit
+  double calls_per_second = 0;  // 0: no limit
 };
 
-// The connection of a call, as it turned out.
+/// The connection that a call used.
 struct ConnectionUsed {
-  bool established = false;  // it was up, whatever became of it then
-  Duration idle{};           // how long it had lain idle; 0: it was new
+  bool established = false;  // it had been established, whatever happened afterwards
+  Duration idle{};           // idle time before the call; 0: a new connection
 };
 
 struct Outcome {
@@ -188,32 +206,36 @@
   std::uint32_t attempt = 0;
   Result result = Result::delivered;
   bool terminal = false;  // the message has its final answer
-  Duration wait{};        // stay away from the destination so long; 0 if none was told
+  Duration wait{};        // server backoff that the destination requested; 0: none
   Duration elapsed{};
   std::optional<LimitReport> report{};
-  std::optional<ConnectionUsed> connection{};  // where the caller can tell
+  std::optional<ConnectionUsed> connection{};  // if known to the caller
 };
 
+/// The client of a message went away before its answer.
 struct Withdrawn {
   MessageId id{};
 };
 
-// An operator takes a host out, whatever the list says of it, or puts it back. Its number holds meanwhile.
-struct ByHand {
+/// An operator disables a host, whatever state the list gives it, or enables it again. The HostId stays valid
+/// while the host is disabled.
+struct OperatorHostOverride {
   HostId host{};
-  bool out = false;
+  bool disabled = false;
 };
 
-using Event = std::variant<HostList, Message, Timer, Outcome, Withdrawn, ByHand, Learned, EarlierCallsOver>;
+using Event = std::variant<HostList, Message, Timer, Outcome, Withdrawn, OperatorHostOverride, LearnedState,
+                           PredecessorCallsEnded>;
 
 struct Send {
   MessageId id{};
   HostId host{};
   Duration timeout{};
-  Duration idle_most = Duration::max();  // a connection that has lain idle for longer must not carry it
-  bool prove =
-      false;  // its connection is to stand its first bytes before the last one, with which it may run
-  Time leave_by = Time::max();  // it may not begin to run any later: the last byte stays here
+  Duration max_connection_idle = Duration::max();  // the call must not use a connection idle for longer
+  // The last byte of the request, without which it cannot run, is sent only after the connection has
+  // accepted the other bytes.
+  bool verify_connection = false;
+  Time write_deadline = Time::max();  // the last byte must not be sent later, so that the request cannot run
 };
 struct Refuse {
   MessageId id{};
@@ -226,20 +248,27 @@
   std::uint64_t token = 0;
   Duration after{};
 };
-struct WatchList {};
-struct CloseIdle {  // the idle connections of this relay to a host
+
+/// Subscribe to the list of hosts.
+struct SubscribeHostList {};
+
+/// Close the idle connections of this relay to a host.
+struct CloseIdleConnections {
   HostId host{};
 };
-// Nothing is kept of this destination any more, nor of its hosts. Before the next event that names it, the
-// caller tells its hosts again, as changes of the list in the same step.
-struct PutAway {
+
+/// The module has dropped all state of this destination and its hosts. Before the next event that names the
+/// destination, the caller passes its hosts in again, as changes of the list in the same step.
+struct EvictDestination {
   DestinationId destination{};
 };
 
-using Action = std::variant<Send, Refuse, Fail, SetTimer, WatchList, CloseIdle, PutAway>;
+using Action =
+    std::variant<Send, Refuse, Fail, SetTimer, SubscribeHostList, CloseIdleConnections, EvictDestination>;
 
-// One relay's decisions. Not thread-safe; instances share nothing. The constructor throws
-// std::invalid_argument, naming the field, for settings that cannot hold.
+/// Decides for one relay which message is sent to which host and when. Instances are independent of each
+/// other; none is thread-safe. The constructor throws std::invalid_argument, naming the field, if the
+/// settings are invalid.
 class Sender {
  public:
   explicit Sender(Settings settings);
@@ -247,14 +276,15 @@
   Sender(Sender&&) noexcept;
   Sender& operator=(Sender&&) noexcept;
 
-  // All that happened by `now`, in order; returns what to do, to be carried out in order at `now`.
-  // The first call starts the relay and should carry the list of hosts known so far.
+  /// Processes all events up to `now`, in order, and returns the actions to be carried out, in order, at
+  /// `now`. The first call starts the relay and should contain the list of hosts known so far.
   std::vector<Action> step(Time now, std::span<const Event> events);
 
-  // For the process that takes this one's place.
-  Learned learned(Time now);
+  /// Returns the learned state for the successor process.
+  LearnedState snapshot(Time now);
 
-  // Destinations that something is kept of: over Settings::most_destinations where none may be put away.
+  /// Returns the number of destinations that state is kept for. It exceeds Settings::max_destinations while
+  /// none of them can be evicted.
   std::size_t destinations() const;
 
  private:
--- a/lab/baselines.cpp
+++ b/lab/baselines.cpp
@@ -33,8 +33,8 @@
       dispatch(d);
     }
     if (s_.list_on_request && !watched_ && now_ >= ask_at_) {
-      actions_.push_back(WatchList{});
-      ask_at_ = now_ + s_.list_within / 2;
+      actions_.push_back(SubscribeHostList{});
+      ask_at_ = now_ + s_.list_request_interval / 2;
     }
 
     if ((!held_.empty() || s_.list_on_request) && timer_at_ <= now_) {
@@ -137,8 +137,8 @@
   void on(const Message& m) {
     Held h;
     h.message = m;
-    h.attempts = static_cast<std::uint32_t>(m.past.size());
-    for (const PastAttempt& p : m.past) h.may_have_run |= p.may_have_run;
+    h.attempts = static_cast<std::uint32_t>(m.past_attempts.size());
+    for (const PastAttempt& p : m.past_attempts) h.may_have_run |= p.may_have_run;
     Held& held = held_.emplace(m.id, std::move(h)).first->second;
     expiries_.emplace(m.valid_until, m.id);
     if (!may_try(held)) return end(m.id);
@@ -152,9 +152,9 @@
   }
 
   void on(const Timer&) {}
-  void on(const ByHand&) {}
-  void on(const Learned&) {}
-  void on(const vetchhinge::EarlierCallsOver&) {}
+  void on(const OperatorHostOverride&) {}
+  void on(const LearnedState&) {}
+  void on(const vetchhinge::PredecessorCallsEnded&) {}
   void on(const Withdrawn& w) { drop(w.id); }
 
   void on(const Outcome& o) {
--- a/lab/day.cpp
+++ b/lab/day.cpp
@@ -258,12 +258,12 @@
   s.relays = f.relays;
   s.wait_hints = true;
   s.list_on_request = scenario.discovery.on_request;
-  s.list_within = std::min(span(scenario.discovery.within), kToldAfter);
+  s.list_request_interval = std::min(span(scenario.discovery.within), kToldAfter);
   s.over_share_worth = 0.1;
   s.start_capacity = f.start_capacity;
   s.overload_factor = f.overload_factor;
-  s.overload_for = span(f.overload_for);
-  s.warm_after = span(f.warm_after);
+  s.overload_window = span(f.overload_for);
+  s.slow_start_duration = span(f.warm_after);
   s.max_wait_hint = span(f.max_wait_hint);
   s.connection_idle = span(f.connection_idle);
   s.tick = span(f.tick);
--- a/lab/policy.cpp
+++ b/lab/policy.cpp
@@ -18,7 +18,7 @@
   std::vector<vetchhinge::Action> step(Time now, std::span<const vetchhinge::Event> events) override {
     return sender_.step(now, events);
   }
-  std::optional<vetchhinge::Learned> learned(Time now) override { return sender_.learned(now); }
+  std::optional<vetchhinge::LearnedState> snapshot(Time now) override { return sender_.snapshot(now); }
 
  private:
   vetchhinge::Sender sender_;
@@ -35,8 +35,8 @@
       {"relays", [](Settings& s, double v) { s.relays = static_cast<std::uint32_t>(v); }},
       {"start_capacity", [](Settings& s, double v) { s.start_capacity = v; }},
       {"overload_factor", [](Settings& s, double v) { s.overload_factor = v; }},
-      {"overload_for", [](Settings& s, double v) { s.overload_for = span(v); }},
-      {"warm_after", [](Settings& s, double v) { s.warm_after = span(v); }},
+      {"overload_for", [](Settings& s, double v) { s.overload_window = span(v); }},
+      {"warm_after", [](Settings& s, double v) { s.slow_start_duration = span(v); }},
       {"max_wait_hint", [](Settings& s, double v) { s.max_wait_hint = span(v); }},
       {"connection_idle", [](Settings& s, double v) { s.connection_idle = span(v); }},
       {"tick", [](Settings& s, double v) { s.tick = span(v); }},
--- a/lab/policy.h
+++ b/lab/policy.h
@@ -31,7 +31,7 @@
   virtual ~Policy() = default;
   virtual std::vector<vetchhinge::Action> step(Time now, std::span<const vetchhinge::Event> events) = 0;
   // For the process that takes its place; nothing where it can't tell.
-  virtual std::optional<vetchhinge::Learned> learned(Time) { return std::nullopt; }
+  virtual std::optional<vetchhinge::LearnedState> snapshot(Time) { return std::nullopt; }
 };
 
 using PolicyMaker =
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -186,8 +186,9 @@
     clients_.second.held += r.held;
     clients_.second.in_flight += r.in_flight;
     if (!options_.caps || !r.up) continue;
-    if (const auto learned = r.policy->learned(timeline_.now())) {
-      for (const vetchhinge::LaneLearned& lane : learned->lanes) clients_.second.cap += lane.cap;
+    if (const auto learned = r.policy->snapshot(timeline_.now())) {
+      for (const vetchhinge::LimitGroupSnapshot& lane : learned->limit_groups)
+        clients_.second.cap += lane.cap;
     }
   }
   clients_.second_over();
--- a/lab/world_calls.cpp
+++ b/lab/world_calls.cpp
@@ -22,7 +22,7 @@
   RelayNode& r = relays_[relay];
   struct Group {
     std::uint32_t call;
-    Duration timeout, idle_most;
+    Duration timeout, max_connection_idle;
   };
   std::map<std::uint32_t, std::vector<Group>> groups;  // by host
   std::vector<std::uint32_t> order;
@@ -71,7 +71,7 @@
       c.host = host;
       c.number = ++last_call_;
       c.sent = timeline_.now();
-      own.push_back({place, s.timeout, s.idle_most});
+      own.push_back({place, s.timeout, s.max_connection_idle});
       order.push_back(host);
       ++r.in_flight;
     }
@@ -79,7 +79,7 @@
     c.items.emplace_back(id, number);
     c.requests.push_back(open.request);
     own.back().timeout = std::max(own.back().timeout, s.timeout);
-    own.back().idle_most = std::min(own.back().idle_most, s.idle_most);
+    own.back().max_connection_idle = std::min(own.back().max_connection_idle, s.max_connection_idle);
     open.attempts.push_back({host, c.number, timeline_.now(), true, false});
     const double work = clients_.work(open.request, number, c.items.size() > 1);
     c.work += work;
@@ -88,7 +88,7 @@
   std::map<std::uint32_t, std::size_t> begun;
   for (const std::uint32_t host : order) {
     const Group& g = groups[host][begun[host]++];
-    begin_call(g.call, g.timeout, g.idle_most);
+    begin_call(g.call, g.timeout, g.max_connection_idle);
   }
 }
 
@@ -108,7 +108,7 @@
   free_calls_.push_back(call);
 }
 
-void World::begin_call(std::uint32_t call, Duration timeout, Duration idle_most) {
+void World::begin_call(std::uint32_t call, Duration timeout, Duration max_connection_idle) {
   Call& c = calls_[call];
   Host& h = hosts_[c.host];
   const std::uint32_t zone = day_.relays[c.relay].zone, there = day_.endpoints[c.host].zone;
@@ -121,7 +121,7 @@
     idle.erase(idle.begin());
     --h.connections;
   }
-  if (!idle.empty() && now - idle.back() <= idle_most) {
+  if (!idle.empty() && now - idle.back() <= max_connection_idle) {
     c.idle = std::max(Duration(1), now - idle.back());
     idle.pop_back();
     c.established = true;
--- a/lab/world_parts.h
+++ b/lab/world_parts.h
@@ -126,7 +126,7 @@
 
   // ------------------------------------------------------------------ world_calls.cpp
   void send(std::uint32_t relay, const std::vector<vetchhinge::Send>& sends);
-  void begin_call(std::uint32_t call, Duration timeout, Duration idle_most);
+  void begin_call(std::uint32_t call, Duration timeout, Duration max_connection_idle);
   void on_call(std::uint32_t call, Duration after, void (World::*then)(std::uint32_t));
   void arrive(std::uint32_t call);
   void finish(std::uint32_t call);
--- a/lab/world_relays.cpp
+++ b/lab/world_relays.cpp
@@ -41,7 +41,7 @@
   for (const Attempt& a : open.attempts) {
     const vetchhinge::ZoneId zone{day_.endpoints[a.host].zone};
     const bool is_out = out && a.out;
-    m.past.push_back(
+    m.past_attempts.push_back(
         {zone, a.sent + stepped, a.may_have_run || is_out, is_out, vetchhinge::HostId(a.host), a.call});
   }
   return m;
@@ -77,7 +77,7 @@
   RelayNode& r = relays_[relay];
   if (!r.up || r.closing) return;
   step(relay);
-  const auto learned = r.policy->learned(timeline_.now());
+  const auto learned = r.policy->snapshot(timeline_.now());
   if (!learned) {
     end_relay(relay, true);
     return start_relay(relay);
@@ -244,9 +244,9 @@
           happened(static_cast<std::uint32_t>(who >> 32), vetchhinge::Timer{0});
         }
       });
-    } else if (std::holds_alternative<vetchhinge::WatchList>(action)) {
+    } else if (std::holds_alternative<vetchhinge::SubscribeHostList>(action)) {
       ask_list(relay);
-    } else if (const auto* idle = std::get_if<vetchhinge::CloseIdle>(&action)) {
+    } else if (const auto* idle = std::get_if<vetchhinge::CloseIdleConnections>(&action)) {
       std::vector<Time>& connections = r.idle[static_cast<std::uint32_t>(idle->host)];
       hosts_[static_cast<std::uint32_t>(idle->host)].connections -=
           static_cast<std::uint32_t>(connections.size());
--- a/relay/command_check.cpp
+++ b/relay/command_check.cpp
@@ -120,7 +120,7 @@
       {"connection_idle_ms", json::value(ms(s.connection_idle)), file},
       {"connect_timeout_ms", json::value(ms(c.connect_timeout)), file},
       {"start_capacity", json::value(s.start_capacity), file},
-      {"warm_after_ms", json::value(ms(s.warm_after)), file},
+      {"warm_after_ms", json::value(ms(s.slow_start_duration)), file},
       {"fleet", json::value(c.fleet ? c.fleet->settings.fleet : "off"), c.fleet ? file : "default"},
   };
   rows.push_back({"copies", json::value(c.copies ? std::to_string(c.copies->settings.copies) : "off"),
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -129,7 +129,7 @@
   const std::string pairs = line.str();
   const vetchhinge::drill::Line settings(pairs);
   config.settings = vetchhinge::drill::read_settings(settings, config.dialect);
-  config.settings.most_destinations = kMostDestinations;
+  config.settings.max_destinations = kMostDestinations;
   config.connect_timeout = settings.span("allowed.connectTimeout");
 
   if (const json::value* known = root.if_contains("known"); known && known->is_object()) {
--- a/relay/endpoints.cpp
+++ b/relay/endpoints.cpp
@@ -171,7 +171,7 @@
   for (const HostId id : change.named) forget_if_gone(id);
   known_ = known_ || !hosts_.empty() || !has_room();
   events.emplace_back(std::move(change.told));
-  for (const HostId id : change.out_by_hand) events.emplace_back(vetchhinge::ByHand{id, true});
+  for (const HostId id : change.out_by_hand) events.emplace_back(vetchhinge::OperatorHostOverride{id, true});
 }
 
 bool Endpoints::tidy() {
@@ -190,7 +190,7 @@
 
 // Whether all destinations may be awake.
 bool Endpoints::has_room() const {
-  return settings_.most_destinations == 0 || list_.cells() <= settings_.most_destinations;
+  return settings_.max_destinations == 0 || list_.cells() <= settings_.max_destinations;
 }
 
 // None: the settings don't name it, and nothing is sent to such an endpoint.
@@ -301,7 +301,7 @@
   const Host& told = hosts_.at(id);
   withhold(id);
   const auto awake = awake_.find(told.cell);
-  if (settings_.kinds[told.kind].routes_apart || awake == awake_.end()) return;
+  if (settings_.kinds[told.kind].per_host_limits || awake == awake_.end()) return;
   for (const HostId other : awake->second) {
     if (other != id) withhold(other);
   }
--- a/relay/frames.cpp
+++ b/relay/frames.cpp
@@ -30,20 +30,25 @@
     out.text(e.id).text(e.kind).text(e.zone).number(e.cell).flag(e.state == catalog::State::serving);
     out.real(e.weight).text(text_of(to_endpoint(e.address)));
   });
-  out.number(all.learned.lanes.size());
-  for (const vetchhinge::LaneLearned& l : all.learned.lanes) {
+  out.number(all.learned.limit_groups.size());
+  for (const vetchhinge::LimitGroupSnapshot& l : all.learned.limit_groups) {
     out.text(name_of(hosts, l.host)).number(static_cast<std::uint64_t>(l.cap)).flag(l.slow).flag(l.failing);
-    out.number(static_cast<std::uint64_t>(l.failures)).number(static_cast<std::uint64_t>(l.refusals));
-    out.time(l.refused_since).time(l.wait_until).time(l.pause_until).real(l.pace).time(l.pace_cut_at);
-    out.real(l.usual_p95).real(l.usual_before).real(l.usual_rate).real(l.arrivals);
+    out.number(static_cast<std::uint64_t>(l.failure_weight))
+        .number(static_cast<std::uint64_t>(l.consecutive_rejections));
+    out.time(l.rejected_since)
+        .time(l.server_backoff_until)
+        .time(l.local_backoff_until)
+        .real(l.paced_rate)
+        .time(l.paced_rate_cut_at);
+    out.real(l.baseline_p95).real(l.rate_before_outage).real(l.baseline_rate).real(l.arrival_rate);
     out.number(l.latencies.size());
     for (const auto& [at, value] : l.latencies) out.time(at).real(value);
   }
   out.number(all.learned.hosts.size());
-  for (const vetchhinge::HostLearned& h : all.learned.hosts) {
-    out.text(name_of(hosts, h.host)).flag(h.cold).flag(h.warm_since.has_value());
-    out.time(h.warm_since.value_or(Time{})).number(static_cast<std::uint64_t>(h.failures));
-    out.time(h.retry_at).time(h.last_success).real(h.budget);
+  for (const vetchhinge::HostSnapshot& h : all.learned.hosts) {
+    out.text(name_of(hosts, h.host)).flag(h.in_slow_start).flag(h.slow_start_since.has_value());
+    out.time(h.slow_start_since.value_or(Time{})).number(static_cast<std::uint64_t>(h.failure_weight));
+    out.time(h.retry_at).time(h.last_success).real(h.slow_start_budget);
   }
   out.number(all.out.size());
   for (const OutCall& c : all.out) {
@@ -87,22 +92,22 @@
     all.list.entries.put(e);
   }
   for (std::size_t n = in.count(); n > 0 && in.good; --n) {
-    auto& l = all.learned.lanes.emplace_back();
+    auto& l = all.learned.limit_groups.emplace_back();
     l.host = host();
     l.cap = whole();
     l.slow = in.flag();
     l.failing = in.flag();
-    l.failures = whole();
-    l.refusals = whole();
-    l.refused_since = in.time<Time>();
-    l.wait_until = in.time<Time>();
-    l.pause_until = in.time<Time>();
-    l.pace = in.real();
-    l.pace_cut_at = in.time<Time>();
-    l.usual_p95 = in.real();
-    l.usual_before = in.real();
-    l.usual_rate = in.real();
-    l.arrivals = in.real();
+    l.failure_weight = whole();
+    l.consecutive_rejections = whole();
+    l.rejected_since = in.time<Time>();
+    l.server_backoff_until = in.time<Time>();
+    l.local_backoff_until = in.time<Time>();
+    l.paced_rate = in.real();
+    l.paced_rate_cut_at = in.time<Time>();
+    l.baseline_p95 = in.real();
+    l.rate_before_outage = in.real();
+    l.baseline_rate = in.real();
+    l.arrival_rate = in.real();
     for (std::size_t samples = in.count(); samples > 0 && in.good; --samples) {
       const Time at = in.time<Time>();
       l.latencies.emplace_back(at, in.real());
@@ -111,14 +116,14 @@
   for (std::size_t n = in.count(); n > 0 && in.good; --n) {
     auto& h = all.learned.hosts.emplace_back();
     h.host = host();
-    h.cold = in.flag();
+    h.in_slow_start = in.flag();
     const bool warming = in.flag();
     const Time since = in.time<Time>();
-    if (warming) h.warm_since = since;
-    h.failures = whole();
+    if (warming) h.slow_start_since = since;
+    h.failure_weight = whole();
     h.retry_at = in.time<Time>();
     h.last_success = in.time<Time>();
-    h.budget = in.real();
+    h.slow_start_budget = in.real();
   }
   for (std::size_t n = in.count(); n > 0 && in.good; --n) {
     OutCall& c = all.out.emplace_back();
--- a/relay/frames.h
+++ b/relay/frames.h
@@ -59,7 +59,7 @@
 // What the journal does not tell.
 struct Inheritance {
   WholeList list;  // as read; to be written is the one that write() gets
-  vetchhinge::Learned learned;
+  vetchhinge::LearnedState learned;
   std::vector<OutCall> out;
   bool leaving = false;
   std::size_t descriptors = 0;  // that the old process still holds
--- a/relay/host_client.cpp
+++ b/relay/host_client.cpp
@@ -230,15 +230,16 @@
 
 asio::awaitable<void> HostClient::write(Call& call) {
   std::string request = make_request(call.address, call.items, limits_.via);
-  if (std::ranges::any_of(call.items, &CallItem::prove)) {
+  if (std::ranges::any_of(call.items, &CallItem::verify_connection)) {
     const std::string last(1, request.back());
     request.pop_back();
     const bool stands = co_await prove(call, request);
     if (!stands) co_return;
     request = last;
   }
-  const vetchhinge::Time leave_by = std::ranges::min(call.items, {}, &CallItem::leave_by).leave_by;
-  const auto too_late = [leave_by] { return steady_time() > leave_by; };
+  const vetchhinge::Time write_deadline =
+      std::ranges::min(call.items, {}, &CallItem::write_deadline).write_deadline;
+  const auto too_late = [write_deadline] { return steady_time() > write_deadline; };
   const bool allowed = !too_late() && (!limits_.before_last_byte || limits_.before_last_byte(call.items));
   if (!allowed || too_late()) {  // recording it may have taken time
     call.withheld = true;
@@ -250,8 +251,8 @@
   const auto error = co_await write_all(StreamUse::calls, connection->socket, request);
   call.written = !error;
   if (!call.written) co_return;
-  if (leave_by < vetchhinge::Time::max()) {
-    call.arrive_by = SteadyTime(leave_by.time_since_epoch()) + kOnTheWay;
+  if (write_deadline < vetchhinge::Time::max()) {
+    call.arrive_by = SteadyTime(write_deadline.time_since_epoch()) + kOnTheWay;
   }
   call.timer.cancel();  // what ran out of time while it was being written is out all the same
 }
@@ -397,7 +398,7 @@
 std::shared_ptr<HostClient::Connection> HostClient::take_idle(const Call& call) {
   const auto found = idle_.find(call.host);
   if (found == idle_.end()) return nullptr;
-  const Duration most = std::ranges::min(call.items, {}, &CallItem::idle_most).idle_most;
+  const Duration most = std::ranges::min(call.items, {}, &CallItem::max_connection_idle).max_connection_idle;
   std::shared_ptr<Connection> taken;
   auto& connections = found->second;
   while (!taken && !connections.empty()) {
--- a/relay/host_client.h
+++ b/relay/host_client.h
@@ -39,9 +39,10 @@
   std::uint32_t attempt = 0;
   std::shared_ptr<const Payload> payload;
   vetchhinge::Time until{};  // its answer counts no longer; by steady_time(), as all moments here
-  vetchhinge::Duration idle_most = vetchhinge::Duration::max();  // of the connection that carries it
-  bool prove = false;  // the last byte waits until the connection has stood the others
-  vetchhinge::Time leave_by = vetchhinge::Time::max();  // the last byte goes out by then, or never
+  vetchhinge::Duration max_connection_idle =
+      vetchhinge::Duration::max();  // of the connection that carries it
+  bool verify_connection = false;   // the last byte waits until the connection has stood the others
+  vetchhinge::Time write_deadline = vetchhinge::Time::max();  // the last byte goes out by then, or never
 };
 
 struct CallResult {
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -399,11 +399,11 @@
             end_undelivered(a.id, {{}, false, {}});
           } else if constexpr (std::is_same_v<A, vetchhinge::SetTimer>) {
             timers_.emplace(SteadyClock::now() + a.after, a.token);
-          } else if constexpr (std::is_same_v<A, vetchhinge::WatchList>) {
+          } else if constexpr (std::is_same_v<A, vetchhinge::SubscribeHostList>) {
             discovery_.watch(endpoints_.version());
-          } else if constexpr (std::is_same_v<A, vetchhinge::CloseIdle>) {
+          } else if constexpr (std::is_same_v<A, vetchhinge::CloseIdleConnections>) {
             host_client_.close_idle(a.host);
-          } else if constexpr (std::is_same_v<A, vetchhinge::PutAway>) {
+          } else if constexpr (std::is_same_v<A, vetchhinge::EvictDestination>) {
             endpoints_.put_away(static_cast<std::uint64_t>(a.destination));
           }
         },
@@ -433,8 +433,8 @@
   booked.host = send.host;
   booked.begun = out.sent;
   booked.messages.push_back(send.id);
-  call.items.push_back({send.id, open.attempts++, open.payload, decided + send.timeout, send.idle_most,
-                        send.prove, send.leave_by});
+  call.items.push_back({send.id, open.attempts++, open.payload, decided + send.timeout,
+                        send.max_connection_idle, send.verify_connection, send.write_deadline});
   endpoints_.call_begins(send.host);
   if (records_at_decision()) record_attempt(open, open.out.back());
   if (copies_) copy_attempt(open, endpoints_.name(send.host), host.zone);
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -136,7 +136,7 @@
     bool ending = false;        // given up, and not told yet
     bool may_have_run = false;  // an attempt that has ended
     bool content_known = true;  // false: of an earlier process, and over; only its call counts
-    bool earlier_call_open =
+    bool predecessor_call_open =
         false;  // of a process that nothing is known of but that it may still have it out
 
     std::uint64_t content() const {
--- a/relay/relay_admin.cpp
+++ b/relay/relay_admin.cpp
@@ -57,7 +57,7 @@
   std::cerr << "myrtlegrade: " << host << (out ? " is out by hand" : " is back by hand") << std::endl;
   const HostId id = endpoints_.number(host);
   if (out) host_client_.close_idle(id);
-  happened(vetchhinge::ByHand{id, out});
+  happened(vetchhinge::OperatorHostOverride{id, out});
 }
 
 }  // namespace myrtlegrade
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -43,7 +43,7 @@
   host_client_.limit(0, config_.sockets);
   Inheritance all;
   all.list.version = endpoints_.version();
-  all.learned = sender_.learned(now());
+  all.learned = sender_.snapshot(now());
   all.out = calls_out();
   all.earlier_calls_open = earlier_calls_open_;
   log_hand_over(all.out);
--- a/relay/relay_journal.cpp
+++ b/relay/relay_journal.cpp
@@ -26,7 +26,7 @@
   const Open& open = open_.at(item.message);
   const char* broken = nullptr;
   // Also one that has an outcome, as long as its connection is open, and those of earlier processes.
-  if (open.out.size() > 1 || open.earlier_call_open) broken = "another attempt is out";
+  if (open.out.size() > 1 || open.predecessor_call_open) broken = "another attempt is out";
   if (successor_) broken = "this process has given over";
   if (item.attempt >= config_.settings.max_attempts) broken = "no attempt is left";
   if (open.may_have_run && runs_once(open.cls)) broken = "it may have run and may not be repeated";
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -24,8 +24,9 @@
   if (inherited) give_back(executor_, std::move(config_.known->entries));
   config_.known.reset();
   if (inherited) {
-    for (const vetchhinge::LaneLearned& lane : inherited->learned.lanes) endpoints_.wake(lane.host, events_);
-    for (const vetchhinge::HostLearned& host : inherited->learned.hosts) endpoints_.wake(host.host, events_);
+    for (const vetchhinge::LimitGroupSnapshot& lane : inherited->learned.limit_groups)
+      endpoints_.wake(lane.host, events_);
+    for (const vetchhinge::HostSnapshot& host : inherited->learned.hosts) endpoints_.wake(host.host, events_);
     // The module gets to know a host when it hears that it runs: also one that drains by now, for what was
     // learned there, as a told wait, binds towards all of its destination.
     for (std::size_t n = events_.size(); n > 0; --n) {
@@ -107,22 +108,23 @@
   vetchhinge::Message message{
       id, *cls, vetchhinge::DestinationId(stored.destination), due_at(stored.deadline, present), {}, {}, {}};
   for (const StoredAttempt& attempt : stored.attempts) {
-    message.past.push_back({vetchhinge::ZoneId{config_.dialect.zones.number(attempt.zone)},
-                            sent_at(attempt.sent, present), attempt.may_have_run});
-    const std::size_t n = message.past.size() - 1;
-    message.past.back().astray = n < astray.size() && astray[n];
+    message.past_attempts.push_back({vetchhinge::ZoneId{config_.dialect.zones.number(attempt.zone)},
+                                     sent_at(attempt.sent, present), attempt.may_have_run});
+    const std::size_t n = message.past_attempts.size() - 1;
+    message.past_attempts.back().orphaned = n < astray.size() && astray[n];
   }
   message.recovered = true;
   const bool last_may_be_out = !stored.attempts.empty() && stored.attempts.back().may_have_run;
-  open_.at(id).earlier_call_open = message.earlier_call_open = earlier_calls_open_ && !out && last_may_be_out;
-  if (out && out->attempt >= message.past.size()) message.past.resize(out->attempt + 1);
+  open_.at(id).predecessor_call_open = message.predecessor_call_open =
+      earlier_calls_open_ && !out && last_may_be_out;
+  if (out && out->attempt >= message.past_attempts.size()) message.past_attempts.resize(out->attempt + 1);
   MessageTrace::event(stored.id, "recovered", "class", stored.cls, "destination", stored.destination,
                       "attempts", stored.attempts.size(), "may_have_run",
                       std::ranges::count(stored.attempts, true, &StoredAttempt::may_have_run), "time_left_ms",
                       whole_ms(until(stored.deadline, present)).count());
   endpoints_.wake(stored.destination, events_);
   if (out) {
-    vetchhinge::PastAttempt& at = message.past[out->attempt];
+    vetchhinge::PastAttempt& at = message.past_attempts[out->attempt];
     at = past(open_.at(id), *out, at.sent);
   }
   events_.emplace_back(std::move(message));
@@ -143,8 +145,8 @@
   ids_.emplace(out.message, id);
   endpoints_.wake(out.destination, events_);
   vetchhinge::Message message{id, *cls, vetchhinge::DestinationId(out.destination), now(), {}, {}, {}};
-  message.past.resize(out.attempt);  // that never ran, for all that it matters now
-  message.past.push_back(past(open, out, sent_at({out.sent}, read_clocks())));
+  message.past_attempts.resize(out.attempt);  // that never ran, for all that it matters now
+  message.past_attempts.push_back(past(open, out, sent_at({out.sent}, read_clocks())));
   events_.emplace_back(std::move(message));
 }
 
@@ -229,8 +231,8 @@
 
 void Relay::no_owner_left() {
   if (!std::exchange(earlier_calls_open_, false)) return;
-  for (auto& [id, open] : open_) open.earlier_call_open = false;
-  happened(vetchhinge::EarlierCallsOver{});
+  for (auto& [id, open] : open_) open.predecessor_call_open = false;
+  happened(vetchhinge::PredecessorCallsEnded{});
 }
 
 // One without a name can only be waited for: so long it may take from the link's end to that of its
--- a/relay/relay_same_request.cpp
+++ b/relay/relay_same_request.cpp
@@ -90,7 +90,7 @@
   const auto cls = config_.dialect.classes.find(open.cls);
   const bool repeatable = cls && config_.settings.classes[*cls].effect == Effect::idempotent;
   const bool may_have_run =
-      open.may_have_run || open.earlier_call_open ||
+      open.may_have_run || open.predecessor_call_open ||
       std::ranges::any_of(open.out, [](const Out& out) { return out.recorded && !out.reported; });
   if (may_have_run && !repeatable) {
     journal_.end(open.payload->id, ended(open, Ended::Told::failed));
--- a/src/asking.cpp
+++ b/src/asking.cpp
@@ -18,13 +18,13 @@
 }  // namespace
 
 Duration first_ask(const Settings& s, double unit) {
-  return scaled(std::min(kAskTurn * (s.relays - 1), scaled(s.list_within, kAskMost)), unit);
+  return scaled(std::min(kAskTurn * (s.relays - 1), scaled(s.list_request_interval, kAskMost)), unit);
 }
 
 Duration next_ask(const Settings& s, int failures, Duration unheard, double unit) {
   const int times = 1 + std::min(failures, kAskGrowths);
   return std::min(scaled(kAskAgain, times * (1 + kAskJitter * (2 * unit - 1))) + first_ask(s, times * unit),
-                  scaled(s.list_within, kAskMost * (1 - kAskJitter * unit)) - unheard);
+                  scaled(s.list_request_interval, kAskMost * (1 - kAskJitter * unit)) - unheard);
 }
 
 }  // namespace vetchhinge
--- a/src/asking.h
+++ b/src/asking.h
@@ -2,8 +2,8 @@
 // in turn, also those whose relay has given up: asked in step, or again as soon as a call has failed, it
 // falls behind for good. So the moments of asking are spread over a span that grows with the number of
 // relays, and with each failure. Whatever became of a call, the next one is out within
-// `Settings::list_within` of the last moment in which something could be heard, and leaves time for an
-// answer. The list known so far serves meanwhile.
+// `Settings::list_request_interval` of the last moment in which something could be heard, and leaves time for
+// an answer. The list known so far serves meanwhile.
 #pragma once
 
 #include "vetchhinge/policy.h"
--- a/src/cap.cpp
+++ b/src/cap.cpp
@@ -49,7 +49,7 @@
 
 RecentSamples watched_latencies() { return {kLatencies, kLatencySpan}; }
 
-double watched_latency(const Lane& l) { return std::max(l.latencies.quantile(kQuantile), l.usual_p95); }
+double watched_latency(const Lane& l) { return std::max(l.latencies.quantile(kQuantile), l.baseline_p95); }
 
 bool mostly_failing(const Lane& l) {
   return l.bad >= kJudgeErrors && l.bad > kFailingShare * (l.good + l.bad);
@@ -63,7 +63,7 @@
   const std::size_t fresh = std::min(l.fresh, l.latencies.size());
   const double p95 = l.latencies.quantile(kQuantile, fresh);
   const bool enough = fresh >= kJudgeCalls;  // each cut needs calls that ended after the last one
-  if (enough) l.slow = l.usual_p95 > 0 && p95 > kSlowRatio * l.usual_p95;
+  if (enough) l.slow = l.baseline_p95 > 0 && p95 > kSlowRatio * l.baseline_p95;
   bool verdict = true;
   if (bad >= kJudgeErrors && errors > kErrorsHalve) {
     l.failing = true;
@@ -72,7 +72,7 @@
     l.failing = false;
     l.cap = std::max(1, l.cap - kSlowCut);
     l.fresh = 0;
-  } else if (calls > 0 && errors < kErrorsHealthy && (!enough || p95 < kNearRatio * l.usual_p95)) {
+  } else if (calls > 0 && errors < kErrorsHealthy && (!enough || p95 < kNearRatio * l.baseline_p95)) {
     l.failing = false;
     if (l.peak >= l.cap) ++l.cap;  // a cap that isn't used proves nothing
   } else {
@@ -81,7 +81,7 @@
   }
   if (enough) {
     const double step = l.poor() ? kUsualCreep : kUsualLearn;
-    l.usual_p95 = l.usual_p95 > 0 ? std::lerp(l.usual_p95, p95, step) : p95;
+    l.baseline_p95 = l.baseline_p95 > 0 ? std::lerp(l.baseline_p95, p95, step) : p95;
   }
   l.cap = std::clamp(l.cap, 1, part_of(slots, l.poor() ? kPoorShare : kCapShare));
   l.peak = l.in_flight;
--- a/src/fleet.cpp
+++ b/src/fleet.cpp
@@ -90,7 +90,7 @@
     std::erase(lane.hosts, place);
     if (lane.hosts.empty() && std::exchange(lane.active, false)) std::erase(active, h.lane);
     Destination& d = destinations[lane.destination];
-    if (lane.hosts.empty() && kinds[d.kind].routes_apart) {
+    if (lane.hosts.empty() && kinds[d.kind].per_host_limits) {
       std::erase(d.lanes, h.lane);
       free_lanes_.push(h.lane);
     }
--- a/src/learned.h
+++ b/src/learned.h
@@ -7,9 +7,9 @@
 
 namespace vetchhinge {
 
-Learned learned(Fleet& fleet, Time now);
+LearnedState learned(Fleet& fleet, Time now);
 
 // Of hosts that are not known any more, nothing is taken up. Returns the lanes that have something to judge.
-std::vector<std::size_t> take_up(Fleet& fleet, const Learned& learned, Time now);
+std::vector<std::size_t> take_up(Fleet& fleet, const LearnedState& learned, Time now);
 
 }  // namespace vetchhinge
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -55,7 +55,7 @@
     return std::exchange(actions_, {});
   }
 
-  Learned learned(Time now) { return vetchhinge::learned(fleet_, now); }
+  LearnedState snapshot(Time now) { return vetchhinge::learned(fleet_, now); }
   std::size_t destinations() const { return fleet_.known_destinations(); }
 
  private:
@@ -75,7 +75,7 @@
   void on(const HostList& list) {
     if (list.kind == HostList::Kind::lost) {
       // One that brought a list and ended early has cost discovery as much as one that failed.
-      if (watched_since_ && now_ >= *watched_since_ + s_.list_within) asks_failed_ = 0;
+      if (watched_since_ && now_ >= *watched_since_ + s_.list_request_interval) asks_failed_ = 0;
       if (watched_since_) heard_at_ = now_ - scaled(list.silent_for, 1 + kJitter * unit());
       watched_since_.reset();
       ask_at_ = now_ + next_ask(s_, asks_failed_++, now_ - heard_at_, unit());
@@ -100,15 +100,15 @@
 
   // It may be restarted while it is out: it comes back cold, and gets what a host gets after an outage. What
   // is held for it goes to other hosts of the destination, or ends now if there are none.
-  void on(const ByHand& b) {
-    if (b.out) by_hand_.insert(b.host);
-    if (!b.out) by_hand_.erase(b.host);
+  void on(const OperatorHostOverride& b) {
+    if (b.disabled) by_hand_.insert(b.host);
+    if (!b.disabled) by_hand_.erase(b.host);
     const auto known = fleet_.find(b.host);
     if (!known) return;
     Host& h = hosts_[*known];
     outage_seen(h);
-    h.by_hand = b.out;
-    if (!b.out) h.failures = 0;
+    h.by_hand = b.disabled;
+    if (!b.disabled) h.failure_weight = 0;
     const std::size_t d = lanes_[h.lane].destination;
     if (!fleet_.shut_by_hand(d)) return;
     for (const MessageId id : std::vector(destinations_[d].hold)) give_up(entries_.at(id));
@@ -121,29 +121,29 @@
     Lane fresh(start_cap(s_.slots), watched_latencies(), RateMeter(kRateLeast, started_),
                RateMeter(kUsualMemory, started_));
     fresh.judged_at = started_;
-    return fleet_.add(e, d, s_.kinds[e.kind].routes_apart, fresh);
+    return fleet_.add(e, d, s_.kinds[e.kind].per_host_limits, fresh);
   }
 
   std::size_t destination_for(DestinationId id) {
     const std::size_t known = fleet_.known_destinations();
     const std::size_t d = fleet_.destination_for(id, RateMeter(kUsualMemory, started_));
-    if (s_.most_destinations > 0 && fleet_.known_destinations() > known) working_set_.added(d);
+    if (s_.max_destinations > 0 && fleet_.known_destinations() > known) working_set_.added(d);
     return d;
   }
 
   void put_away() {
-    if (fleet_.known_destinations() <= s_.most_destinations || s_.most_destinations == 0) return;
+    if (fleet_.known_destinations() <= s_.max_destinations || s_.max_destinations == 0) return;
     for (const std::size_t d : working_set_.surplus(fleet_, s_, now_)) {
-      actions_.push_back(PutAway{destinations_[d].id});
+      actions_.push_back(EvictDestination{destinations_[d].id});
       fleet_.put_away(d);
     }
   }
 
   void ask_for_list() {
     if (!s_.list_on_request || watched_since_ || now_ < ask_at_) return;
-    actions_.push_back(WatchList{});
+    actions_.push_back(SubscribeHostList{});
     heard_at_ = now_;
-    ask_at_ = now_ + 2 * s_.list_within;  // should the one answer that it gets never come
+    ask_at_ = now_ + 2 * s_.list_request_interval;  // should the one answer that it gets never come
   }
 
   // -------------------------------------------------------------------------- admission
@@ -153,10 +153,10 @@
     e.message = m;
     e.destination = destination_for(m.destination);
     e.worth = s_.classes[m.cls].worth * share_worth(m);
-    e.in_turn = s_.classes[m.cls].in_turn && m.key.has_value();
+    e.ordered = s_.classes[m.cls].ordered && m.key.has_value();
     Entry& entry = work_.add(std::move(e));
     destinations_[entry.destination].arrivals.add(now_, 1);
-    for (const PastAttempt& p : m.past) take_up_attempt(entry, p);
+    for (const PastAttempt& p : m.past_attempts) take_up_attempt(entry, p);
     if (entry.out > 0) return;
     hold_or_end(entry);
     if (entry.held) make_room(entry);
@@ -164,7 +164,7 @@
 
   // A call that an earlier process still has out holds its slot, its part of the cap and its message here.
   void take_up_attempt(Entry& e, const PastAttempt& p) {
-    if (!p.out) {
+    if (!p.in_flight) {
       e.attempts.push_back({0, 0, p.zone, p.sent, p.may_have_run ? Fate::may_have_run : Fate::never_ran});
       return;
     }
@@ -178,11 +178,11 @@
     activate(hosts_[h].lane);
   }
 
-  void on(const EarlierCallsOver&) {
-    for (auto& [id, e] : entries_) e.message.earlier_call_open = false;
+  void on(const PredecessorCallsEnded&) {
+    for (auto& [id, e] : entries_) e.message.predecessor_call_open = false;
   }
 
-  void on(const Learned& learned) {
+  void on(const LearnedState& learned) {
     for (const std::size_t lane : take_up(fleet_, learned, now_)) activate(lane);
   }
 
@@ -236,7 +236,7 @@
 
   // In an outage nothing tells when it ends: work waits, and the hold's bound alone refuses.
   bool recovering(std::size_t d) const {
-    return fleet_.any_host(d, [](const Host& h) { return h.cold && h.usable(); });
+    return fleet_.any_host(d, [](const Host& h) { return h.in_slow_start && h.usable(); });
   }
 
   // Seconds in which the hold could drain at the present cap and latency.
@@ -291,7 +291,7 @@
     const Duration age = now_ + latency - (e.message.valid_until - c.deadline);
     if (age <= c.aim) return e.worth * (1 + std::max(0.0, seconds(age) / seconds(c.aim)));
     double left = c.late_worth;
-    if (s_.halving) {
+    if (s_.late_worth_halves) {
       left = std::max(left, std::exp2(-seconds(age - c.aim) / seconds(c.aim)));
     } else if (c.deadline > c.aim) {
       left = 1 - (1 - left) * std::min(1.0, seconds(age - c.aim) / seconds(c.deadline - c.aim));
@@ -373,7 +373,7 @@
       const Entry& e = entries_.at(id);
       if (!may_send(e)) continue;
       // The head of a key's queue holds up all behind it.
-      const std::size_t behind = e.in_turn ? keys_.at(*e.message.key).waiting.size() : 1;
+      const std::size_t behind = e.ordered ? keys_.at(*e.message.key).waiting.size() : 1;
       const double worth = rank(e, latency) * static_cast<double>(behind);
       const Duration left = e.message.valid_until - now_;
       const bool untried = e.untried_since_restart() && left > kTimeForUntried * latency;
@@ -390,10 +390,10 @@
   }
 
   bool may_send(const Entry& e) const {
-    if (e.out > 0 || now_ < e.not_before || e.message.earlier_call_open) return false;
+    if (e.out > 0 || now_ < e.not_before || e.message.predecessor_call_open) return false;
     // What timed out alone is still there for as long as the call that carried it stays open for the others.
     if (!e.attempts.empty() && calls_.contains(e.attempts.back().call)) return false;
-    return (!e.in_turn || work_.is_next(e, now_)) && may_try(e);
+    return (!e.ordered || work_.is_next(e, now_)) && may_try(e);
   }
 
   Duration expected_latency(std::size_t d) const {
@@ -406,7 +406,9 @@
     return span(best);
   }
 
-  bool lane_ready(const Lane& l) const { return now_ >= l.wait_until && now_ >= l.pause_until; }
+  bool lane_ready(const Lane& l) const {
+    return now_ >= l.server_backoff_until && now_ >= l.local_backoff_until;
+  }
 
   std::optional<std::size_t> choose_host(const Entry& e) {
     std::optional<std::size_t> best;
@@ -449,11 +451,11 @@
   }
 
   bool host_has_room(Host& h) {
-    const bool open = h.failures >= kOpenAfter;  // circuit half-open: one call
+    const bool open = h.failure_weight >= kOpenAfter;  // circuit half-open: one call
     if (open ? h.in_flight > 0 || now_ < h.retry_at : stalled(h)) return false;
-    if (!h.cold) return true;
+    if (!h.in_slow_start) return true;
     refill_budget(h, lanes_[h.lane], sure_rate(lanes_[h.lane]), s_, now_);
-    return !h.cold || h.budget >= 1;
+    return !h.in_slow_start || h.slow_start_budget >= 1;
   }
 
   // Stall guard: what never answers has no latency to rise. While a call is overdue and nothing sent since
@@ -477,8 +479,8 @@
   // A failure or two put a host last for a pause, and an open circuit lets one call through after its pause:
   // only a call there can show that it works again. That is for work which may be repeated.
   int standing(const Host& h, bool safe) const {
-    if (h.failures >= kOpenAfter) return safe ? 0 : 3;
-    if (h.failures > 0 && now_ < h.retry_at) return 2;
+    if (h.failure_weight >= kOpenAfter) return safe ? 0 : 3;
+    if (h.failure_weight > 0 && now_ < h.retry_at) return 2;
     return 1;
   }
 
@@ -487,7 +489,7 @@
   // idle connection.
   bool better(const Host& a, const Host& b, bool safe) const {
     if (standing(a, safe) != standing(b, safe)) return standing(a, safe) < standing(b, safe);
-    if (!safe && a.cold != b.cold) return b.cold;  // else its budget bounds it
+    if (!safe && a.in_slow_start != b.in_slow_start) return b.in_slow_start;  // else its budget bounds it
     if (a.in_flight != b.in_flight) return a.in_flight < b.in_flight;
     if (s_.zone && a.zone != b.zone) return a.zone == *s_.zone;
     return idle(a) > idle(b);
@@ -500,7 +502,7 @@
     Lane& l = lanes_[h.lane];
     const Destination& d = destinations_[e.destination];
     if (joinable(h, d)) {
-      h.budget -= h.cold ? kBatchWeight : 0;
+      h.slow_start_budget -= h.in_slow_start ? kBatchWeight : 0;
     } else {
       h.step = step_;
       h.step_call = ++last_call_;
@@ -508,19 +510,19 @@
       h.idle_connections = std::max(0, idle(h) - 1);
       l.pace_budget -= 1;
       l.recent_calls.add(now_, 1);
-      h.budget -= h.cold ? 1 : 0;
+      h.slow_start_budget -= h.in_slow_start ? 1 : 0;
     }
     ++calls_.at(h.step_call).messages;
     activate(h.lane);
     work_.unhold(e);
     ++e.out;
-    const Time leave_by = window_end(e).value_or(Time::max());
+    const Time write_deadline = window_end(e).value_or(Time::max());
     e.attempts.push_back({at, h.step_call, h.zone, now_});
-    if (e.in_turn) ++keys_.at(*e.message.key).out;
+    if (e.ordered) ++keys_.at(*e.message.key).out;
     const IdleAge& age = idle_ages_[d.kind];
     const bool once = s_.classes[e.message.cls].effect == Effect::at_most_once;
     actions_.push_back(
-        Send{e.message.id, h.id, timeout(e, l), once ? age.keep_once() : age.keep(), once, leave_by});
+        Send{e.message.id, h.id, timeout(e, l), once ? age.keep_once() : age.keep(), once, write_deadline});
   }
 
   // Long enough for a slow destination that works, short enough that a silent one doesn't pin slots.
@@ -548,7 +550,7 @@
     --e.out;
     const bool open =
         o.result == Result::timed_out || o.result == Result::reset || o.result == Result::cancelled;
-    if (e.in_turn) work_.leave_key(e, open ? now_ + s_.order_settle : Time{});
+    if (e.ordered) work_.leave_key(e, open ? now_ + s_.ordered_key_delay : Time{});
     heed(lanes_[hosts_[a.host].lane], o, a.sent);
     settle_call(a, o);
     if (o.terminal && !e.done) work_.close(e);
@@ -559,7 +561,7 @@
   // Every outcome's wait binds, also those of one call that tell different ones.
   void heed(Lane& l, const Outcome& o, Time sent) {
     if (o.report) heed_report(l, *o.report, sent, now_);
-    if (o.wait > 0us) l.wait_until = std::max(l.wait_until, now_ + o.wait + kWaitMargin);
+    if (o.wait > 0us) l.server_backoff_until = std::max(l.server_backoff_until, now_ + o.wait + kWaitMargin);
   }
 
   void settle_call(const Attempt& a, const Outcome& o) {
@@ -584,7 +586,7 @@
       if (idle(h) == 0) return true;
       if (now_ < i.first + keep(lanes_[h.lane])) return false;
       h.idle_connections = 0;
-      actions_.push_back(CloseIdle{h.id});
+      actions_.push_back(CloseIdleConnections{h.id});
       return true;
     });
   }
@@ -609,14 +611,14 @@
         ++l.good;
         l.latencies.add(now_, seconds(o.elapsed));
         ++l.fresh;
-        l.refusals = l.failures = 0;
-        if (!h.cold) l.usual_calls.add(now_, 1);
+        l.consecutive_rejections = l.failure_weight = 0;
+        if (!h.in_slow_start) l.usual_calls.add(now_, 1);
         if (l.told_limit > 0) l.usual_share.add(now_, 1 / l.told_limit);
-        h.failures = 0;
+        h.failure_weight = 0;
         h.last_success = now_;
-        if (h.cold && !h.warm_since) {
-          h.warm_since = h.budget_at = now_;
-          h.budget = 0;
+        if (h.in_slow_start && !h.slow_start_since) {
+          h.slow_start_since = h.budget_at = now_;
+          h.slow_start_budget = 0;
           l.thrifty_until = {};  // it was down, not full
         }
         return;
@@ -647,35 +649,35 @@
   // One that fails while another of its lane works is judged by itself: the destination serves on.
   bool alone(const Host& h, const Lane& l) const {
     return std::ranges::any_of(l.hosts, [&](std::size_t o) {
-      return hosts_[o].usable() && hosts_[o].failures == 0 && hosts_[o].last_success > h.last_success;
+      return hosts_[o].usable() && hosts_[o].failure_weight == 0 && hosts_[o].last_success > h.last_success;
     });
   }
 
   void failed(Host& h, Lane& l, const Call& call, int weight) {
     if (call.sent < h.last_success) return;  // it has answered since: no proof of an outage
-    h.failures += weight;
+    h.failure_weight += weight;
     if (call.sent >= l.failed_at && !alone(h, l)) {  // calls that were out together are one proof
-      l.failures += weight;
+      l.failure_weight += weight;
       l.failed_at = now_;
     }
     const Duration pause = scaled(kProbeFirst, jitter(kProbeJitter));  // the cold budget bounds the sum
-    if (l.failures >= kOpenAfter) {
+    if (l.failure_weight >= kOpenAfter) {
       for (const std::size_t other : l.hosts) outage_seen(hosts_[other]);
-      l.pause_until = std::max(l.pause_until, now_ + pause);
+      l.local_backoff_until = std::max(l.local_backoff_until, now_ + pause);
     }
     h.retry_at = now_ + pause;
-    if (h.failures >= kOpenAfter || (weight == kFailed && mostly_failing(l))) outage_seen(h);
+    if (h.failure_weight >= kOpenAfter || (weight == kFailed && mostly_failing(l))) outage_seen(h);
   }
 
   void outage_seen(Host& h) {
     Lane& l = lanes_[h.lane];
     // Kept from before: the meter forgets during the outage.
-    if (!h.cold) l.usual_before = l.usual_calls.per_second(now_, kRateLeast);
-    l.pace = 0;  // the cold budget takes over
+    if (!h.in_slow_start) l.rate_before_outage = l.usual_calls.per_second(now_, kRateLeast);
+    l.paced_rate = 0;  // the cold budget takes over
     // At any moment within its turn: relays that see the same don't call together.
-    h.budget = std::min(h.cold ? h.budget : 1, unit());
-    h.cold = true;
-    h.warm_since.reset();
+    h.slow_start_budget = std::min(h.in_slow_start ? h.slow_start_budget : 1, unit());
+    h.in_slow_start = true;
+    h.slow_start_since.reset();
     h.budget_at = now_;
   }
 
@@ -685,8 +687,8 @@
   // and comes again at a moment of its own: all were refused, and told to wait, at once. Refusals over a
   // longer span count as an outage, as of a destination that is shut.
   void refused(Lane& l, const Call& call, Duration told) {
-    if (l.refusals++ == 0) l.refused_since = now_;
-    Duration pause = backoff(l) * (1 << std::min(l.refusals - 1, kBackoffDoublings));
+    if (l.consecutive_rejections++ == 0) l.rejected_since = now_;
+    Duration pause = backoff(l) * (1 << std::min(l.consecutive_rejections - 1, kBackoffDoublings));
     if (near_limit(l, now_)) {
       const double turn = kTurnShare / part_of_limit(l, s_, now_);
       pause = std::min(scaled(span(turn), unit()), kTurnMost * s_.classes.front().aim);
@@ -695,15 +697,15 @@
       // At the end of a told wait all relays told would come at once, so some of the pause follows it.
       const double part = told <= 0us ? 1.0 : s_.relays > kFewRelays ? kToldShare : 0.0;
       pause = scaled(pause, part * jitter(kBackoffJitter));
-      cut_pace(l, call, hosts_[call.host].cold, s_, now_);
+      cut_pace(l, call, hosts_[call.host].in_slow_start, s_, now_);
     }
-    l.pause_until = std::max(l.pause_until, now_ + told + pause);
-    if (told <= s_.overload_for) keep_to_part(l, call.sent, now_);
-    const bool shut = l.refusals >= kShutRefusals && now_ - l.refused_since > kShutSpan;
+    l.local_backoff_until = std::max(l.local_backoff_until, now_ + told + pause);
+    if (told <= s_.overload_window) keep_to_part(l, call.sent, now_);
+    const bool shut = l.consecutive_rejections >= kShutRefusals && now_ - l.rejected_since > kShutSpan;
     // A relay that seldom calls would find out only when it is over, and by then all that wait come at once.
-    const bool seldom = l.refusals >= kSeldomRefusals && told <= 0us && !near_limit(l, now_) &&
+    const bool seldom = l.consecutive_rejections >= kSeldomRefusals && told <= 0us && !near_limit(l, now_) &&
                         own_rate(l) * seconds(kShutSpan) < 1;
-    if (shut || seldom || told > s_.overload_for) {
+    if (shut || seldom || told > s_.overload_window) {
       for (const std::size_t h : l.hosts) outage_seen(hosts_[h]);
     }
   }
@@ -711,7 +713,7 @@
   // What this relay used to send there, or is asked to: pauses go by it.
   double own_rate(Lane& l) {
     return std::max(
-        {l.usual_before, l.usual_calls.per_second(now_, kRateLeast), asked(l), kOwnLeast / s_.relays});
+        {l.rate_before_outage, l.usual_calls.per_second(now_, kRateLeast), asked(l), kOwnLeast / s_.relays});
   }
 
   // Where routes are apart each gets its part of what arrives: what one can take is not what all can.
@@ -723,7 +725,7 @@
 
   // The same, the surer the more calls tell of it: cold budgets in proportion to it bound the relays' sum.
   double sure_rate(Lane& l) {
-    const double usual = std::max(l.usual_before, l.usual_calls.per_second(now_, kRateLeast));
+    const double usual = std::max(l.rate_before_outage, l.usual_calls.per_second(now_, kRateLeast));
     const double known = usual * seconds(kUsualMemory);
     return (known * usual + asked(l)) / (known + 1);
   }
@@ -753,7 +755,7 @@
 
   bool may_try(const Entry& e) const {
     return repeatable(e) && e.attempts.size() < s_.max_attempts &&
-           std::ranges::none_of(e.message.past, &PastAttempt::astray);
+           std::ranges::none_of(e.message.past_attempts, &PastAttempt::orphaned);
   }
 
   bool repeatable(const Entry& e) const {
@@ -853,7 +855,7 @@
 
 std::vector<Action> Sender::step(Time now, std::span<const Event> events) { return impl_->step(now, events); }
 
-Learned Sender::learned(Time now) { return impl_->learned(now); }
+LearnedState Sender::snapshot(Time now) { return impl_->snapshot(now); }
 
 std::size_t Sender::destinations() const { return impl_->destinations(); }
 
--- a/src/ramp.cpp
+++ b/src/ramp.cpp
@@ -67,10 +67,11 @@
 }
 
 void cut_pace(Lane& l, const Call& call, bool cold, const Settings& s, Time now) {
-  if (!cold && (l.pace == 0 || call.sent > l.pace_cut_at)) {
+  if (!cold && (l.paced_rate == 0 || call.sent > l.paced_rate_cut_at)) {
     const double recent = l.recent_calls.per_second(now, kRateLeast);
-    l.pace = std::max(pace_floor(l, s, now), kPaceCut * (l.pace > 0 ? std::min(l.pace, recent) : recent));
-    l.pace_cut_at = l.pace_at = now;
+    l.paced_rate = std::max(pace_floor(l, s, now),
+                            kPaceCut * (l.paced_rate > 0 ? std::min(l.paced_rate, recent) : recent));
+    l.paced_rate_cut_at = l.pace_at = now;
   }
   l.pace_budget = 0;
 }
@@ -78,16 +79,16 @@
 void refill_pace(Lane& l, const Settings& s, Time now) {
   const double passed = seconds(now - std::exchange(l.pace_at, now));
   // The longer nothing was refused, the faster: limits that were low for a while are high again at once.
-  const double quiet = std::max(1.0, seconds(now - l.pace_cut_at) / kPaceQuiet);
-  l.pace *= 1 + kPaceGrowth * passed * quiet;
-  if (l.pace > kPaceFree * pace_floor(l, s, now)) l.pace = 0;
+  const double quiet = std::max(1.0, seconds(now - l.paced_rate_cut_at) / kPaceQuiet);
+  l.paced_rate *= 1 + kPaceGrowth * passed * quiet;
+  if (l.paced_rate > kPaceFree * pace_floor(l, s, now)) l.paced_rate = 0;
   if (near_limit(l, now)) {  // what isn't used proves nothing: it grows for as long as it held calls back
     const double held = std::clamp((1 - l.pace_budget) / part_of_limit(l, s, now), 0.0, passed);
     l.part *= 1 + (l.part < 1 ? kPartRise : kPartBeyond) * held *
                       std::max(0.0, (l.share_left - kFreeLeft) / (1 - kFreeLeft));
   }
   if (part_of_limit(l, s, now) > l.told_limit) l.part = 0;  // all of it would be its own
-  double rate = l.pace > 0 ? l.pace : kLimitMost;
+  double rate = l.paced_rate > 0 ? l.paced_rate : kLimitMost;
   if (near_limit(l, now)) rate = std::min(rate, part_of_limit(l, s, now));
   l.pace_budget =
       rate == kLimitMost ? 1 : std::min(l.pace_budget + rate * passed, std::max(1.0, rate * kBurstSpan));
@@ -109,21 +110,22 @@
 }
 
 void refill_budget(Host& h, const Lane& l, double own_rate, const Settings& s, Time now) {
-  const double passed = seconds(now - std::max(h.budget_at, l.wait_until));
+  const double passed = seconds(now - std::max(h.budget_at, l.server_backoff_until));
   h.budget_at = now;
-  if (h.warm_since && now > *h.warm_since + s.warm_after) {
-    h.cold = false;
+  if (h.slow_start_since && now > *h.slow_start_since + s.slow_start_duration) {
+    h.in_slow_start = false;
     return;
   }
-  const double warmed =
-      h.warm_since && s.warm_after > 0us ? seconds(now - *h.warm_since) / seconds(s.warm_after) : 0;
+  const double warmed = h.slow_start_since && s.slow_start_duration > 0us
+                            ? seconds(now - *h.slow_start_since) / seconds(s.slow_start_duration)
+                            : 0;
   const double share = s.start_capacity + (1 - s.start_capacity) * warmed;
   const double part = std::max(own_rate, l.told_limit / s.relays) / static_cast<double>(l.hosts.size());
-  const double window = std::max(seconds(s.overload_for), kShortestWindow);
+  const double window = std::max(seconds(s.overload_window), kShortestWindow);
   const double expected =
       s.overload_factor * share * part * s.relays * window;  // N, if all have as much as this one
   const double rate = surely_borne(expected, s.relays) / (s.relays * window);
-  h.budget = std::min(h.budget + rate * passed, std::max(1.0, rate * kBurstSpan));
+  h.slow_start_budget = std::min(h.slow_start_budget + rate * passed, std::max(1.0, rate * kBurstSpan));
 }
 
 }  // namespace vetchhinge
--- a/src/records.h
+++ b/src/records.h
@@ -34,10 +34,10 @@
   double worth = 1;
   bool done = false;
   bool held = false;
-  bool in_turn = false;  // one at a time for each key
+  bool ordered = false;  // one at a time for each key
 
   // Here, by this process: attempts before a restart may have been withheld, which was no call.
-  bool called() const { return attempts.size() > message.past.size(); }
+  bool called() const { return attempts.size() > message.past_attempts.size(); }
   bool waits_since_restart() const { return message.recovered && !called(); }
   bool untried_since_restart() const { return waits_since_restart() && !first_risky_send(); }
 
@@ -57,7 +57,7 @@
   bool judged = false;  // its first outcome has been counted
 };
 
-struct Host : HostMemory {
+struct Host : HostHealth {
   HostId id{};
   ZoneId zone{};
   std::size_t lane = 0;
@@ -75,7 +75,7 @@
 };
 
 struct Lane
-    : LaneMemory {  // what shares one limit: a destination, or one of its routes where these are apart
+    : LimitGroupState {  // what shares one limit: a destination, or one of its routes where these are apart
   Lane(int start_cap, RecentSamples samples, RateMeter recent, RateMeter usual)
       : latencies(std::move(samples)), recent_calls(recent), usual_calls(usual), usual_share(usual) {
     cap = start_cap;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -26,10 +26,10 @@
   require(s.start_capacity > 0 && s.start_capacity <= 1, "start_capacity");
   require(s.overload_factor > 0 && std::isfinite(s.overload_factor), "overload_factor");
   require(s.over_share_worth >= 0 && s.over_share_worth <= 1, "over_share_worth");
-  const Duration spans[] = {s.overload_for,    s.warm_after,   s.max_wait_hint,
-                            s.connection_idle, s.order_settle, s.tick};
+  const Duration spans[] = {s.overload_window, s.slow_start_duration, s.max_wait_hint,
+                            s.connection_idle, s.ordered_key_delay,   s.tick};
   require(*std::min_element(std::begin(spans), std::end(spans)) >= 0us, "a span of time under zero");
-  require(!s.list_on_request || s.list_within > 0us, "list_within");
+  require(!s.list_on_request || s.list_request_interval > 0us, "list_within");
   require(!s.classes.empty(), "classes");
   require(!s.kinds.empty(), "kinds");
   for (const ClassSettings& c : s.classes) {
--- a/src/work.cpp
+++ b/src/work.cpp
@@ -10,7 +10,7 @@
   expiries.emplace(e.message.valid_until, id);
   ++open;
   ++fleet_.destinations[e.destination].entries;
-  if (e.in_turn) keys[*e.message.key].waiting.push_back(id);
+  if (e.ordered) keys[*e.message.key].waiting.push_back(id);
   return e;
 }
 
@@ -37,7 +37,7 @@
   unhold(e);
   e.done = true;
   --open;
-  if (e.in_turn) std::erase(keys.at(*e.message.key).waiting, e.message.id);
+  if (e.ordered) std::erase(keys.at(*e.message.key).waiting, e.message.id);
   closed_.push_back(e.message.id);
 }
 
--- a/src/working_set.cpp
+++ b/src/working_set.cpp
@@ -17,25 +17,28 @@
 
 // Nothing runs, is owed or told, and what broke or refused has answered since: none of that ends by resting.
 bool host_clear(const Host& h, const Fleet& fleet, const Settings& s, Time now) {
-  const bool warm = !h.cold || (h.warm_since && now > *h.warm_since + s.warm_after);
-  return h.usable() && h.in_flight == 0 && h.failures == 0 && warm && fleet.idle_connections(h, now) == 0;
+  const bool warm =
+      !h.in_slow_start || (h.slow_start_since && now > *h.slow_start_since + s.slow_start_duration);
+  return h.usable() && h.in_flight == 0 && h.failure_weight == 0 && warm &&
+         fleet.idle_connections(h, now) == 0;
 }
 
 bool lane_clear(const Lane& l, const Settings& s, Time now) {
-  if (l.active || l.in_flight > 0 || l.failures > 0 || l.refusals > 0) return false;
-  if (std::max({l.wait_until, l.pause_until, l.thrifty_until}) > now || near_limit(l, now)) return false;
+  if (l.active || l.in_flight > 0 || l.failure_weight > 0 || l.consecutive_rejections > 0) return false;
+  if (std::max({l.server_backoff_until, l.local_backoff_until, l.thrifty_until}) > now || near_limit(l, now))
+    return false;
   const double used = std::max(l.usual_calls.left(now), l.usual_share.left(now) * l.told_limit);
   if (std::max(used, l.recent_calls.left(now)) > kNegligibleEvents) return false;
-  if (l.pace == 0) return true;
+  if (l.paced_rate == 0) return true;
   Lane next = l;  // as the next message would find it
   refill_pace(next, s, now);
-  return next.pace == 0;
+  return next.paced_rate == 0;
 }
 
 // What a new lane would not know. Of hosts that share one, who answered last tells who fails alone.
 bool learned(const Lane& l, const Fleet& fleet, const Settings& s) {
   const auto answered = [&](std::size_t h) { return fleet.hosts[h].last_success > Time{}; };
-  return l.cap != start_cap(s.slots) || l.usual_p95 > 0 || l.usual_before > 0 ||
+  return l.cap != start_cap(s.slots) || l.baseline_p95 > 0 || l.rate_before_outage > 0 ||
          (l.part > 0 && l.told_limit > 0) || (l.hosts.size() > 1 && std::ranges::any_of(l.hosts, answered));
 }
 
@@ -58,7 +61,7 @@
 std::vector<std::size_t> WorkingSet::surplus(const Fleet& fleet, const Settings& s, Time now) {
   std::vector<std::size_t> away;
   std::size_t looks = kLooks + 2 * std::exchange(added_, 0);
-  for (; looks > 0 && fleet.known_destinations() > s.most_destinations + away.size(); --looks) {
+  for (; looks > 0 && fleet.known_destinations() > s.max_destinations + away.size(); --looks) {
     if (looks_.empty() || looks_.begin()->first > now) break;
     const std::size_t place = looks_.extract(looks_.begin()).value().second;
     const Destination& d = fleet.destinations[place];
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(write(Refuse{MessageId(7), 250ms}, d), "REJECT ticket=7 notBeforeFor=250");
   EXPECT_EQ(write(Fail{MessageId(4294967295U)}, d), "END_FAILED ticket=4294967295");
   EXPECT_EQ(write(SetTimer{3, 20ms}, d), "SCHEDULE name=3 fromNow=20");
-  EXPECT_EQ(write(WatchList{}, d), "WATCH active=1");
+  EXPECT_EQ(write(SubscribeHostList{}, d), "WATCH active=1");
 }
 
 TEST(Codec, MessageInAnyOrderOfParts) {
--- a/tests/cold_routes_test.cpp
+++ b/tests/cold_routes_test.cpp
@@ -25,12 +25,12 @@
   settings.max_attempts = 6;
   settings.start_capacity = 0.2;
   settings.overload_factor = 2;
-  settings.overload_for = 1500ms;
-  settings.warm_after = 10s;
+  settings.overload_window = 1500ms;
+  settings.slow_start_duration = 10s;
   settings.connection_idle = 9s;
   settings.tick = kStep;
   settings.classes = {{.aim = 2s, .deadline = 8s, .effect = Effect::idempotent}};
-  settings.kinds = {{.routes_apart = true}};
+  settings.kinds = {{.per_host_limits = true}};
   return settings;
 }
 
@@ -101,13 +101,13 @@
   const Settings s = apart();
   const Time back(112s);
   Day day(back);
-  day.run_until(back + s.overload_for);
-  const double window = std::chrono::duration<double>(s.overload_for).count();
-  const double warm = window / std::chrono::duration<double>(s.warm_after).count();
+  day.run_until(back + s.overload_window);
+  const double window = std::chrono::duration<double>(s.overload_window).count();
+  const double warm = window / std::chrono::duration<double>(s.slow_start_duration).count();
   const double capacity = kArrivals / kHosts * std::lerp(s.start_capacity, 1, warm);
   const double n = s.overload_factor * capacity * window;
-  EXPECT_LE(static_cast<double>(day.most_within(s.overload_for)), n + 3 * std::sqrt(n) + 3);
-  EXPECT_GE(day.most_within(s.overload_for), 1U);
+  EXPECT_LE(static_cast<double>(day.most_within(s.overload_window)), n + 3 * std::sqrt(n) + 3);
+  EXPECT_GE(day.most_within(s.overload_window), 1U);
 }
 
 }  // namespace
--- a/tests/discovery_series_test.cpp
+++ b/tests/discovery_series_test.cpp
@@ -72,7 +72,7 @@
     s.seed = seed;
     s.relays = 300;
     s.list_on_request = true;
-    s.list_within = kTold;
+    s.list_request_interval = kTold;
     s.classes = {{.aim = 1s, .deadline = 8s}};
     s.kinds = {{}};
     module_.emplace(s);
@@ -239,7 +239,7 @@
     const auto now = std::chrono::duration_cast<vetchhinge::Duration>(at.time_since_epoch());
     for (const auto& action : module_->step(vetchhinge::Time(now), events)) {
       if (const auto* timer = std::get_if<vetchhinge::SetTimer>(&action)) timer_ = at + timer->after;
-      if (std::holds_alternative<vetchhinge::WatchList>(action)) asked_ = at;
+      if (std::holds_alternative<vetchhinge::SubscribeHostList>(action)) asked_ = at;
     }
   }
   Time next_ask() {
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -57,7 +57,7 @@
     s.seed = seed;
     s.relays = 300;
     s.list_on_request = true;
-    s.list_within = 6s;
+    s.list_request_interval = 6s;
     s.classes = {{.aim = 1s, .deadline = 8s}};
     s.kinds = {{}};
     module_.emplace(s);
@@ -96,7 +96,7 @@
   void step(std::vector<vetchhinge::Event> events) {
     const auto now = std::chrono::duration_cast<vetchhinge::Duration>(SteadyClock::now().time_since_epoch());
     for (const auto& action : module_->step(vetchhinge::Time(now), events)) {
-      if (std::holds_alternative<vetchhinge::WatchList>(action)) discovery_.watch(kHeld);
+      if (std::holds_alternative<vetchhinge::SubscribeHostList>(action)) discovery_.watch(kHeld);
       if (const auto* timer = std::get_if<vetchhinge::SetTimer>(&action)) {
         timer_.expires_after(timer->after);
         timer_.async_wait([this](auto error) {
--- a/tests/earlier_calls_test.cpp
+++ b/tests/earlier_calls_test.cpp
@@ -29,8 +29,8 @@
 
 Message recovered(Time now) {
   Message message{MessageId(1), 0, DestinationId(1), now + 6s};
-  message.past = {{ZoneId(0), now - 1s, true}};
-  message.recovered = message.earlier_call_open = true;
+  message.past_attempts = {{ZoneId(0), now - 1s, true}};
+  message.recovered = message.predecessor_call_open = true;
   return message;
 }
 
@@ -44,7 +44,7 @@
     ASSERT_EQ(sends(sender.step(now, {})), 0U) << i;
   }
   now += 20ms;
-  EXPECT_EQ(sends(sender.step(now, std::vector<Event>{EarlierCallsOver{}})), 1U);
+  EXPECT_EQ(sends(sender.step(now, std::vector<Event>{PredecessorCallsEnded{}})), 1U);
 }
 
 TEST(EarlierCalls, AMessageEndsInTimeThoughTheyAreNot) {
--- a/tests/fleet_asking_test.cpp
+++ b/tests/fleet_asking_test.cpp
@@ -18,7 +18,7 @@
   s.seed = seed;
   s.relays = relays;
   s.list_on_request = true;
-  s.list_within = 6s;
+  s.list_request_interval = 6s;
   s.connection_idle = 5s;
   s.classes = {{.aim = 1s, .deadline = 8s, .effect = Effect::idempotent}};
   s.kinds = {{}};
@@ -90,8 +90,8 @@
   now += 10s;
   (void)sender.step(now, std::vector<Event>{lost});
   const auto actions = sender.step(now + 950ms, {});
-  EXPECT_TRUE(
-      std::ranges::any_of(actions, [](const Action& a) { return std::holds_alternative<WatchList>(a); }));
+  EXPECT_TRUE(std::ranges::any_of(
+      actions, [](const Action& a) { return std::holds_alternative<SubscribeHostList>(a); }));
 }
 
 TEST(FleetAsking, WhoKnowsNoHostAsksAtOnce) {
@@ -99,8 +99,8 @@
     Sender sender(settings(100, seed));
     const std::vector<Event> nothing{HostList{HostList::Kind::cached, {}}};
     const auto actions = sender.step(Time{}, nothing);
-    EXPECT_TRUE(
-        std::ranges::any_of(actions, [](const Action& a) { return std::holds_alternative<WatchList>(a); }));
+    EXPECT_TRUE(std::ranges::any_of(
+        actions, [](const Action& a) { return std::holds_alternative<SubscribeHostList>(a); }));
   }
 }
 
--- a/tests/fleet_limit_test.cpp
+++ b/tests/fleet_limit_test.cpp
@@ -29,8 +29,8 @@
   s.wait_hints = true;
   s.start_capacity = 0.2;
   s.overload_factor = 2;
-  s.overload_for = 1500ms;
-  s.warm_after = 10s;
+  s.overload_window = 1500ms;
+  s.slow_start_duration = 10s;
   s.max_wait_hint = 3s;
   s.connection_idle = 5s;
   s.tick = 1ms;
@@ -356,13 +356,13 @@
     }
     tried += now >= back ? 1 : 0;
     came.emplace_back(now, calling->caller());
-    while (came.front().first + s.overload_for < now) came.pop_front();
+    while (came.front().first + s.overload_window < now) came.pop_front();
     const auto by_told = std::ranges::count_if(came, [&](const auto& c) { return told.contains(c.second); });
     if (3 * by_told <= 2 * std::ssize(came)) return Outcome{};
-    const double warm = std::chrono::duration<double>(now - back) / s.warm_after;
+    const double warm = std::chrono::duration<double>(now - back) / s.slow_start_duration;
     if (warm < 0 || warm >= 1) return Outcome{};
     const double capacity = kCapacity * usual * std::lerp(s.start_capacity, 1, warm);
-    const double n = s.overload_factor * capacity * std::chrono::duration<double>(s.overload_for).count();
+    const double n = s.overload_factor * capacity * std::chrono::duration<double>(s.overload_window).count();
     const double slack = n < 30 ? 3 * std::sqrt(n) + 3 : 2 * std::sqrt(n) + 2;
     most = std::max(most, static_cast<double>(came.size()) / (n + slack));
     return Outcome{};
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -14,8 +14,8 @@
  protected:
   std::size_t add(std::uint32_t id) {
     const std::size_t d = fleet_.destination_for(DestinationId(7), RateMeter(1s, Time()));
-    const std::size_t h =
-        fleet_.add({.host = HostId(id), .destination = DestinationId(7)}, d, kinds_[0].routes_apart, fresh_);
+    const std::size_t h = fleet_.add({.host = HostId(id), .destination = DestinationId(7)}, d,
+                                     kinds_[0].per_host_limits, fresh_);
     fleet_.told(h, HostState::running);
     return h;
   }
--- a/tests/host_client_test.cpp
+++ b/tests/host_client_test.cpp
@@ -214,7 +214,7 @@
   say(kept, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
   CallItem careful = item(2);
-  careful.idle_most = 0us;
+  careful.max_connection_idle = 0us;
   call({careful, item(3)});  // the most careful one of a call decides
   tcp::socket fresh = accept();
   read_head(fresh);
@@ -234,7 +234,7 @@
       },
       [](std::uint64_t, CallEnd) {});
   CallItem careful = item(1);
-  careful.prove = true;
+  careful.verify_connection = true;
   patient.call(1, HostId(1), address_, {careful});
   tcp::socket host = accept();
   read_head(host);
@@ -250,7 +250,7 @@
 // What has got its final answer while its connection was proven stays without its last byte: it never runs.
 TEST_F(HostClientTest, TheLastByteIsHeldBackFromWhatMayNotLeaveAnyMore) {
   CallItem careful = item(1);
-  careful.prove = true;
+  careful.verify_connection = true;
   call({careful});
   tcp::socket host = accept();
   may_leave_ = false;
@@ -266,9 +266,9 @@
 // A call may wait for others' word, or the disk, before it is made: that wait counts against its moments.
 TEST_F(HostClientTest, WhatWaitedBeforeItsCallHasNoMoreTimeForThat) {
   CallItem late = item(1);
-  late.leave_by = steady_time() + 30ms;
+  late.write_deadline = steady_time() + 30ms;
   const CallItem brief = item(2, 30ms);
-  run_until([&] { return steady_time() > late.leave_by; });
+  run_until([&] { return steady_time() > late.write_deadline; });
   call({late});
   ASSERT_TRUE(run_until([&] { return !results_.empty(); }));
   EXPECT_EQ(results_[0].second.result, Result::not_sent);
@@ -293,7 +293,7 @@
 TEST_F(HostClientTest, WhatLeftInTimeAndDoesNotArriveIsTakenBack) {
   acceptor_.set_option(boost::asio::socket_base::receive_buffer_size(4096));
   CallItem repeat = item(1, 20s, 60'000);
-  repeat.leave_by = steady_time() + 100ms;
+  repeat.write_deadline = steady_time() + 100ms;
   call({repeat});
   tcp::socket host = accept();
   ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
@@ -305,11 +305,11 @@
 // One that has arrived is waited for.
 TEST_F(HostClientTest, WhatArrivedInTimeKeepsItsTime) {
   CallItem repeat = item(1);
-  repeat.leave_by = steady_time() + 20ms;
+  repeat.write_deadline = steady_time() + 20ms;
   call({repeat});
   tcp::socket host = accept();
   read_head(host);
-  run_until([&] { return steady_time() > repeat.leave_by + 100ms; });
+  run_until([&] { return steady_time() > repeat.write_deadline + 100ms; });
   ASSERT_TRUE(results_.empty());
   say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
@@ -325,7 +325,7 @@
     crowd.back().async_connect(acceptor_.local_endpoint(), [](boost::system::error_code) {});
   }
   CallItem late = item(1);
-  late.leave_by = steady_time() + 50ms;
+  late.write_deadline = steady_time() + 50ms;
   CallItem free = item(2);
   call({free, late});
   const auto due = std::chrono::steady_clock::now() + 60ms;
@@ -356,7 +356,7 @@
 
 TEST_F(HostClientTest, AConnectionThatStandsGetsTheWholeRequest) {
   CallItem careful = item(1);
-  careful.prove = true;
+  careful.verify_connection = true;
   call({careful});
   tcp::socket host = accept();
   std::string text;
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -50,7 +50,7 @@
     dialect_.kinds.number("plain");
     dialect_.listed_rates = true;
     settings_.kinds.resize(1);
-    settings_.most_destinations = 4;
+    settings_.max_destinations = 4;
   }
   ~EndpointsTest() override { fs::remove_all(folder_); }
 
@@ -173,7 +173,7 @@
   EXPECT_EQ(moved.entries[1].destination, vetchhinge::DestinationId{2});
   EXPECT_EQ(endpoints_.at(first).withheld, 1U);
   ASSERT_EQ(events_.size(), 2U);
-  EXPECT_EQ(std::get<vetchhinge::ByHand>(events_[1]).host, moved.entries[1].host);
+  EXPECT_EQ(std::get<vetchhinge::OperatorHostOverride>(events_[1]).host, moved.entries[1].host);
   EXPECT_EQ(endpoints_.name(first), "a");  // as long as its call is out
   endpoints_.call_over(first);
   EXPECT_EQ(dialect_.hosts.find("a"), static_cast<std::uint32_t>(moved.entries[1].host));
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -31,12 +31,12 @@
   s.wait_hints = true;
   s.start_capacity = 0.2;
   s.overload_factor = 2;
-  s.overload_for = 3s;
-  s.warm_after = 10s;
+  s.overload_window = 3s;
+  s.slow_start_duration = 10s;
   s.max_wait_hint = 2s;
   s.connection_idle = 10s;
-  s.order_settle = 100ms;
-  s.list_within = 10s;
+  s.ordered_key_delay = 100ms;
+  s.list_request_interval = 10s;
   s.tick = 5ms;
   s.classes = {{.aim = 2s, .deadline = 20s, .effect = Effect::idempotent, .late_worth = 0.5},
                {.aim = 2s, .deadline = 20s, .window = 5s, .effect = Effect::deduplicated, .late_worth = 0.5},
@@ -45,7 +45,7 @@
                 .deadline = 20s,
                 .window = 15s,
                 .effect = Effect::deduplicated,
-                .in_turn = true,
+                .ordered = true,
                 .late_worth = 0.5}};
   s.kinds = {{}, {.batch = 4}};
   return s;
@@ -71,7 +71,7 @@
       }
       if (const auto* r = std::get_if<Refuse>(&a)) refused.push_back(*r);
       if (const auto* f = std::get_if<Fail>(&a)) failed.push_back(f->id);
-      if (std::holds_alternative<CloseIdle>(a)) ++closed;
+      if (std::holds_alternative<CloseIdleConnections>(a)) ++closed;
       if (const auto* t = std::get_if<SetTimer>(&a)) timers.push_back(now + t->after);
     }
     return actions;
@@ -346,7 +346,7 @@
   const auto asks = [&](Time now, std::vector<Event> events) {
     const auto actions = sender.step(now, events);
     return std::count_if(actions.begin(), actions.end(),
-                         [](const Action& a) { return std::holds_alternative<WatchList>(a); });
+                         [](const Action& a) { return std::holds_alternative<SubscribeHostList>(a); });
   };
   EXPECT_EQ(asks(Time(0s), {HostList{HostList::Kind::cached, {}}}), 1);
   EXPECT_EQ(asks(Time(100ms), {HostList{HostList::Kind::whole, {}}}), 0);
@@ -568,14 +568,14 @@
   Relay r;
   r.take(1, kKeyed);
   ASSERT_EQ(r.sends.size(), 1U);
-  EXPECT_GE(r.sends[0].send.leave_by, r.now + 24h) << "nothing may have run before";
+  EXPECT_GE(r.sends[0].send.write_deadline, r.now + 24h) << "nothing may have run before";
   r.run_for(3s);
   r.end(1, Result::timed_out);
   r.run_for(1900ms);
   ASSERT_EQ(r.sends.size(), 2U);
   const Time end = r.sends[0].at + 5s;
-  EXPECT_LT(r.sends[1].send.leave_by, end);
-  EXPECT_GT(r.sends[1].send.leave_by, end - 200ms);
+  EXPECT_LT(r.sends[1].send.write_deadline, end);
+  EXPECT_GT(r.sends[1].send.write_deadline, end - 200ms);
   r.end(1, Result::connect_failed);
   r.run_for(5s);
   EXPECT_EQ(r.sends.size(), 2U) << "what never ran leaves the window where it was";
@@ -740,7 +740,7 @@
     end(id, Result::delivered, 0s);
   }
   r.take(5);
-  EXPECT_LT(r.sends.back().send.idle_most, 2s);
+  EXPECT_LT(r.sends.back().send.max_connection_idle, 2s);
   end(5, Result::delivered, 0s);
   const int before = r.closed;
   r.run_for(100ms);
@@ -847,7 +847,7 @@
   Relay r;
   for (const std::uint32_t cls : {kSafe, kOnce}) {
     Message m = r.message(1 + cls, cls);
-    m.past = {{.zone = ZoneId(0), .sent = r.now - 100ms, .may_have_run = true, .astray = true}};
+    m.past_attempts = {{.zone = ZoneId(0), .sent = r.now - 100ms, .may_have_run = true, .orphaned = true}};
     r.step({m});
     EXPECT_EQ(r.sent(1 + cls), 0);
   }
@@ -862,7 +862,7 @@
   r.now = Time(100s);
   const auto again = [&](std::uint32_t id, std::uint32_t cls, std::vector<PastAttempt> past) {
     Message m = r.message(id, cls);
-    m.past = std::move(past);
+    m.past_attempts = std::move(past);
     r.step({m});
     return r.sent(id);
   };
@@ -888,7 +888,8 @@
   for (std::uint32_t i = 1; i <= 120; ++i) {
     Message m = r.message(i);
     m.recovered = true;
-    if (i > 100) m.past = {{ZoneId(0), r.now - 1s, false}};  // it may have been withheld: that was no call
+    if (i > 100)
+      m.past_attempts = {{ZoneId(0), r.now - 1s, false}};  // it may have been withheld: that was no call
     found.emplace_back(std::move(m));
   }
   r.step(found);
@@ -926,7 +927,7 @@
 TEST(Restart, AttemptsAreNumberedOnFromThePast) {
   Relay r;
   Message m = r.message(1, kOnce);
-  m.past = {{ZoneId(0), r.now, false}, {ZoneId(0), r.now, false}};
+  m.past_attempts = {{ZoneId(0), r.now, false}, {ZoneId(0), r.now, false}};
   r.step({m});
   ASSERT_EQ(r.sent(1), 1);
   r.step({Outcome{MessageId(1), 2, Result::error, false, 0us, 100ms, std::nullopt}});
@@ -938,7 +939,7 @@
   s.classes[kKeyed].scope = KeyScope::zone;
   Relay r(s);
   Message m = r.message(1, kKeyed);
-  m.past = {{ZoneId(3), r.now, true}};
+  m.past_attempts = {{ZoneId(3), r.now, true}};
   r.step({m});
   EXPECT_EQ(r.sent(1), 0) << "the one host is of another zone";
 }
@@ -1001,7 +1002,7 @@
 
 TEST(Sender, GivesNothingToAHostThatIsOutByHandThoughTheListNamesIt) {
   Relay relay(settings(), 2);
-  relay.step({ByHand{HostId(0), true}});
+  relay.step({OperatorHostOverride{HostId(0), true}});
   HostList again{HostList::Kind::whole,
                  {{HostId(0), DestinationId(1), ZoneId(0), 0}, {HostId(1), DestinationId(1), ZoneId(0), 0}}};
   relay.step({again});
@@ -1022,9 +1023,9 @@
     relay.end(id, Result::delivered);
     relay.run_for(100ms);
   }
-  relay.step({ByHand{HostId(0), true}});
+  relay.step({OperatorHostOverride{HostId(0), true}});
   relay.run_for(3s);
-  relay.step({ByHand{HostId(0), false}, ByHand{HostId(0), false}});
+  relay.step({OperatorHostOverride{HostId(0), false}, OperatorHostOverride{HostId(0), false}});
   const std::size_t before = relay.sends.size();
   std::vector<Event> flood;
   for (; id < 140; ++id) flood.push_back(relay.message(id));
@@ -1044,12 +1045,12 @@
   for (std::uint32_t id = 0; id < 20; ++id) relay.take(id);
   const std::size_t held = 20 - relay.sends.size();
   ASSERT_GT(held, 0U);
-  relay.step({ByHand{HostId(0), true}});
+  relay.step({OperatorHostOverride{HostId(0), true}});
   EXPECT_EQ(relay.refused.size(), held);
   relay.take(20);
   EXPECT_EQ(relay.refused.size(), held + 1);
   for (const Refuse& refuse : relay.refused) EXPECT_GT(refuse.wait, 0us);
-  relay.step({ByHand{HostId(0), false}});
+  relay.step({OperatorHostOverride{HostId(0), false}});
   relay.take(21);
   EXPECT_EQ(relay.refused.size(), held + 1);
 }
@@ -1062,7 +1063,7 @@
   old.step(Time(0s), std::vector<Event>{list, first});
   Outcome told{MessageId(1), 0, Result::full, false, 5s, 100ms, std::nullopt};
   old.step(Time(1s), std::vector<Event>{told});
-  const Learned learned = old.learned(Time(1s));
+  const LearnedState learned = old.snapshot(Time(1s));
   const auto sends = [](const std::vector<Action>& actions) {
     return std::ranges::count_if(actions, [](const Action& a) { return std::holds_alternative<Send>(a); });
   };
@@ -1078,7 +1079,7 @@
   s.slots = 1;
   Relay relay(s);
   Message out = relay.message(1);
-  out.past = {{ZoneId(0), relay.now, true, true, HostId(0), 7}};
+  out.past_attempts = {{ZoneId(0), relay.now, true, true, HostId(0), 7}};
   relay.step({out});
   relay.take(2);
   relay.run_for(100ms);
--- a/tests/working_set_test.cpp
+++ b/tests/working_set_test.cpp
@@ -28,16 +28,16 @@
   s.wait_hints = true;
   s.start_capacity = 0.2;
   s.overload_factor = 2;
-  s.overload_for = 1500ms;
-  s.warm_after = 10s;
+  s.overload_window = 1500ms;
+  s.slow_start_duration = 10s;
   s.max_wait_hint = 3s;
   s.connection_idle = 5s;
-  s.order_settle = 200ms;
+  s.ordered_key_delay = 200ms;
   s.tick = 1ms;
   s.classes = {
       {.aim = 1500ms, .deadline = 8s, .effect = Effect::idempotent, .late_worth = 0.1},
       {.aim = 1500ms, .deadline = 20s, .window = 30s, .effect = Effect::deduplicated, .late_worth = 0.1}};
-  s.kinds = {{}, {.routes_apart = true, .batch = 4}};
+  s.kinds = {{}, {.per_host_limits = true, .batch = 4}};
   return s;
 }
 
@@ -49,13 +49,13 @@
             std::uint64_t(s->id),
             std::uint64_t(s->host),
             s->timeout.count(),
-            s->idle_most.count(),
-            s->leave_by.time_since_epoch().count()};
+            s->max_connection_idle.count(),
+            s->write_deadline.time_since_epoch().count()};
   }
   if (const auto* r = std::get_if<Refuse>(&a)) return {1, std::uint64_t(r->id), 0, r->wait.count(), 0, 0};
   if (const auto* f = std::get_if<Fail>(&a)) return {2, std::uint64_t(f->id), 0, 0, 0, 0};
   if (const auto* t = std::get_if<SetTimer>(&a)) return {3, t->token, 0, t->after.count(), 0, 0};
-  if (const auto* c = std::get_if<CloseIdle>(&a)) return {4, std::uint64_t(c->host), 0, 0, 0, 0};
+  if (const auto* c = std::get_if<CloseIdleConnections>(&a)) return {4, std::uint64_t(c->host), 0, 0, 0, 0};
   return {5, 0, 0, 0, 0, 0};
 }
 
@@ -65,7 +65,7 @@
   Pair(std::uint32_t relays, std::uint64_t seed, std::uint32_t most) : random_(seed) {
     Settings s = settings(relays, seed);
     free_ = std::make_unique<Sender>(s);
-    s.most_destinations = most;
+    s.max_destinations = most;
     bound_ = std::make_unique<Sender>(s);
   }
 
@@ -91,7 +91,7 @@
 
   void by_hand(DestinationId of, HostId host, bool out) {
     wake(of);
-    both(ByHand{host, out});
+    both(OperatorHostOverride{host, out});
   }
 
   void step(Duration after = 0us) {
@@ -104,7 +104,7 @@
     const std::vector<Action> actions = free_->step(now_, std::exchange(events_, {}));
     for (const Action& a : actions) free.push_back(told(a));
     for (const Action& a : bound_->step(now_, std::exchange(for_bound_, {}))) {
-      if (const auto* p = std::get_if<PutAway>(&a)) {
+      if (const auto* p = std::get_if<EvictDestination>(&a)) {
         ++put_away_;
         ASSERT_TRUE(away_.insert(p->destination).second);
       } else {
@@ -291,7 +291,7 @@
 // Ids that are never seen again, each with a call: places are taken again.
 TEST(WorkingSet, EndlessChangeKeepsNoMoreThanTheBoundAndWhatIsNotAtRest) {
   Settings s = settings(4, 1);
-  s.most_destinations = 50;
+  s.max_destinations = 50;
   Sender sender(s);
   Time now{};
   std::size_t most = 0;
