--- a/copies/clock_offset.h
+++ b/copies/clock_offset.h
@@ -1,6 +1,6 @@
-// How far another relay's clock is from this one's, by the words that it sends: the quickest of the last
-// seconds tells best. Clocks need not agree and may run apart, so that what was true minutes ago is not
-// believed.
+// Estimates the offset between the clock of another relay and the local one from the messages that it sends:
+// the smallest observed difference of the last seconds has the least transit delay in it. The clocks need not
+// agree and may drift, so samples expire.
 #pragma once
 
 #include <algorithm>
@@ -12,24 +12,24 @@
 
 class ClockOffset {
  public:
-  // A word came that took so long by both clocks. Returns the least of the last kWindow at least, and of
-  // twice that at most.
-  Duration add_sample(Time now, Duration took) {
-    if (now >= began_ + kWindow) {
-      before_ = now < began_ + 2 * kWindow ? least_ : Duration::max();
-      least_ = Duration::max();
-      began_ = now;
+  // Adds a sample, the difference between local receipt time and remote send time. Returns the minimum over
+  // at least the last kWindow and at most the last 2 * kWindow.
+  Duration add_sample(Time now, Duration difference) {
+    if (now >= window_start_ + kWindow) {
+      previous_minimum_ = now < window_start_ + 2 * kWindow ? current_minimum_ : Duration::max();
+      current_minimum_ = Duration::max();
+      window_start_ = now;
     }
-    least_ = std::min(least_, took);
-    return std::min(before_, least_);
+    current_minimum_ = std::min(current_minimum_, difference);
+    return std::min(previous_minimum_, current_minimum_);
   }
 
  private:
-  // Clocks that run apart by 500 millionths, as far as time services let them, are 5 ms apart after two.
+  // Two windows limit the error from drift to 5 ms: time services let clocks drift by up to 500 ppm.
   static constexpr Duration kWindow = std::chrono::seconds(5);
 
-  Time began_{};
-  Duration least_ = Duration::max(), before_ = Duration::max();
+  Time window_start_{};
+  Duration current_minimum_ = Duration::max(), previous_minimum_ = Duration::max();
 };
 
 }  // namespace valedrum::copies
--- a/copies/codec.cpp
+++ b/copies/codec.cpp
@@ -6,15 +6,15 @@
 using myrtlegrade::RecordReader;
 using myrtlegrade::RecordWriter;
 
-constexpr std::size_t kMostWords = 1 << 12;
-constexpr std::size_t kMostItems = 1 << 16;
-constexpr std::size_t kMostAttempts = 64;
+constexpr std::size_t kMaxEnvelopes = 1 << 12;
+constexpr std::size_t kMaxItems = 1 << 16;
+constexpr std::size_t kMaxAttempts = 64;
 
 enum class Tag : std::uint8_t { frame = kFormat, published = kFormat };
 
 void write(RecordWriter& out, const GroupId& id) { out.text(id.origin).number(id.number); }
 
-GroupId read_id(RecordReader& in) {
+GroupId read_group_id(RecordReader& in) {
   GroupId id;
   id.origin = in.text();
   id.number = in.number();
@@ -26,32 +26,32 @@
 }
 
 membership::Address read_address(RecordReader& in) {
-  const std::uint64_t n = in.number();
-  return {static_cast<std::uint32_t>(n >> 16), static_cast<std::uint16_t>(n & 0xffff)};
+  const std::uint64_t packed = in.number();
+  return {static_cast<std::uint32_t>(packed >> 16), static_cast<std::uint16_t>(packed & 0xffff)};
 }
 
-void write(RecordWriter& out, const GroupConfig& head) {
-  out.number(head.copies);
-  for (const MemberIdentity& s : head.members) {
-    out.text(s.name).number(s.storage_id);
-    write(out, s.address);
+void write(RecordWriter& out, const GroupConfig& config) {
+  out.number(config.copies);
+  for (const MemberIdentity& member : config.members) {
+    out.text(member.name).number(member.storage_id);
+    write(out, member.address);
   }
 }
 
-GroupConfig read_head(RecordReader& in) {
-  GroupConfig head;
-  head.copies = static_cast<unsigned>(in.number());
-  for (MemberIdentity& s : head.members) {
-    s.name = in.text();
-    s.storage_id = in.number();
-    s.address = read_address(in);
+GroupConfig read_config(RecordReader& in) {
+  GroupConfig config;
+  config.copies = static_cast<unsigned>(in.number());
+  for (MemberIdentity& member : config.members) {
+    member.name = in.text();
+    member.storage_id = in.number();
+    member.address = read_address(in);
   }
-  in.good = in.good && head.copies >= 1 && head.copies < kGroupSize;
-  return head;
+  in.good = in.good && config.copies >= 1 && config.copies < kGroupSize;
+  return config;
 }
 
-// Times as the distance from `zero`.
-void write(RecordWriter& out, const Item& item, Time zero) {
+// Writes times as offsets from `base`.
+void write(RecordWriter& out, const Item& item, Time base) {
   out.number(item.version.epoch).number(item.version.revision);
   out.number((item.completed ? 1 : 0) + (item.payload ? 2 : 0) + (item.pending_notice ? 4 : 0));
   if (item.payload) {
@@ -59,17 +59,17 @@
     out.text(p.id).text(p.cls).text(p.key).text(p.body).number(p.destination).flag(p.at_most_once);
   }
   if (item.pending_notice) out.flag(item.pending_notice->handed_back).duration(item.pending_notice->retry_in);
-  out.duration(item.deadline - zero).number(item.attempts.size());
+  out.duration(item.deadline - base).number(item.attempts.size());
   for (const Attempt& a : item.attempts) {
     out.text(a.host)
         .text(a.zone)
-        .duration(a.sent_at - zero)
+        .duration(a.sent_at - base)
         .number(a.sender)
         .number(static_cast<std::uint64_t>(a.state));
   }
 }
 
-Item read_item(RecordReader& in, Time zero) {
+Item read_item(RecordReader& in, Time base) {
   Item item;
   item.version.epoch = in.number();
   item.version.revision = in.number();
@@ -86,64 +86,65 @@
     item.payload = std::make_shared<const Payload>(std::move(p));
   }
   if ((flags & 4) != 0) {
-    PendingNotice owed;
-    owed.handed_back = in.flag();
-    owed.retry_in = in.duration();
-    item.pending_notice = owed;
+    PendingNotice notice;
+    notice.handed_back = in.flag();
+    notice.retry_in = in.duration();
+    item.pending_notice = notice;
   }
-  item.deadline = zero + in.duration();
+  item.deadline = base + in.duration();
   const std::size_t attempts = in.count();
-  in.good = in.good && attempts <= kMostAttempts && flags < 8;
+  in.good = in.good && attempts <= kMaxAttempts && flags < 8;
   for (std::size_t i = 0; in.good && i < attempts; ++i) {
     Attempt a;
     a.host = in.text();
     a.zone = in.text();
-    a.sent_at = zero + in.duration();
-    const std::uint64_t by = in.number(), fate = in.number();
-    in.good = in.good && by < kGroupSize && fate <= static_cast<std::uint64_t>(AttemptState::may_have_run);
-    a.sender = static_cast<MemberIndex>(by);
-    a.state = static_cast<AttemptState>(fate);
+    a.sent_at = base + in.duration();
+    const std::uint64_t sender = in.number(), state = in.number();
+    in.good =
+        in.good && sender < kGroupSize && state <= static_cast<std::uint64_t>(AttemptState::may_have_run);
+    a.sender = static_cast<MemberIndex>(sender);
+    a.state = static_cast<AttemptState>(state);
     item.attempts.push_back(std::move(a));
   }
   return item;
 }
 
-void write(RecordWriter& out, const GroupMessage& s) {
-  out.number(static_cast<std::uint64_t>(s.kind)).number(s.sender).number(s.epoch);
-  out.time(s.sent_at).time(s.echoed_sent_at).number(s.items.size());
-  for (const auto& [id, item] : s.items) {
+void write(RecordWriter& out, const GroupMessage& message) {
+  out.number(static_cast<std::uint64_t>(message.kind)).number(message.sender).number(message.epoch);
+  out.time(message.sent_at).time(message.echoed_sent_at).number(message.items.size());
+  for (const auto& [id, item] : message.items) {
     out.text(id);
-    if (s.kind == GroupMessageKind::ack) {
+    if (message.kind == GroupMessageKind::ack) {
       out.number(item.version.epoch).number(item.version.revision);
     } else {
-      write(out, item, s.sent_at);
+      write(out, item, message.sent_at);
     }
   }
 }
 
-GroupMessage read_say(RecordReader& in) {
-  GroupMessage s;
-  const std::uint64_t kind = in.number(), from = in.number();
-  s.epoch = in.number();
-  s.sent_at = in.time<Time>();
-  s.echoed_sent_at = in.time<Time>();
+GroupMessage read_message(RecordReader& in) {
+  GroupMessage message;
+  const std::uint64_t kind = in.number(), sender = in.number();
+  message.epoch = in.number();
+  message.sent_at = in.time<Time>();
+  message.echoed_sent_at = in.time<Time>();
   const std::size_t items = in.count();
-  in.good = in.good && kind <= static_cast<std::uint64_t>(GroupMessageKind::reject) && from < kGroupSize &&
-            items <= kMostItems;
-  s.kind = static_cast<GroupMessageKind>(kind);
-  s.sender = static_cast<MemberIndex>(from);
+  in.good = in.good && kind <= static_cast<std::uint64_t>(GroupMessageKind::reject) && sender < kGroupSize &&
+            items <= kMaxItems;
+  message.kind = static_cast<GroupMessageKind>(kind);
+  message.sender = static_cast<MemberIndex>(sender);
   for (std::size_t i = 0; in.good && i < items; ++i) {
     std::string id = in.text();
     Item item;
-    if (s.kind == GroupMessageKind::ack) {
+    if (message.kind == GroupMessageKind::ack) {
       item.version.epoch = in.number();
       item.version.revision = in.number();
     } else {
-      item = read_item(in, s.sent_at);
+      item = read_item(in, message.sent_at);
     }
-    if (in.good) s.items.emplace(std::move(id), std::move(item));
+    if (in.good) message.items.emplace(std::move(id), std::move(item));
   }
-  return s;
+  return message;
 }
 
 }  // namespace
@@ -151,11 +152,11 @@
 std::string encode(const Frame& frame) {
   RecordWriter out(Tag::frame);
   out.flag(frame.no_room).number(frame.envelopes.size());
-  for (const Envelope& w : frame.envelopes) {
-    write(out, w.group);
-    out.flag(w.config.has_value());
-    if (w.config) write(out, *w.config);
-    write(out, w.message);
+  for (const Envelope& envelope : frame.envelopes) {
+    write(out, envelope.group);
+    out.flag(envelope.config.has_value());
+    if (envelope.config) write(out, *envelope.config);
+    write(out, envelope.message);
   }
   return out.record();
 }
@@ -165,23 +166,23 @@
   if (in.kind<Tag>() != Tag::frame) return std::nullopt;
   Frame frame;
   frame.no_room = in.flag();
-  const std::size_t words = in.count();
-  in.good = in.good && words <= kMostWords;
-  for (std::size_t i = 0; in.good && i < words; ++i) {
-    Envelope w;
-    w.group = read_id(in);
-    if (in.flag()) w.config = read_head(in);
-    w.message = read_say(in);
-    frame.envelopes.push_back(std::move(w));
+  const std::size_t count = in.count();
+  in.good = in.good && count <= kMaxEnvelopes;
+  for (std::size_t i = 0; in.good && i < count; ++i) {
+    Envelope envelope;
+    envelope.group = read_group_id(in);
+    if (in.flag()) envelope.config = read_config(in);
+    envelope.message = read_message(in);
+    frame.envelopes.push_back(std::move(envelope));
   }
   if (!in.good || !in.empty()) return std::nullopt;
   return frame;
 }
 
-std::string encode(const PublishedMember& p) {
+std::string encode(const PublishedMember& published) {
   RecordWriter out(Tag::published);
-  write(out, p.address);
-  out.number(p.storage_id).number(p.free_eighths);
+  write(out, published.address);
+  out.number(published.storage_id).number(published.free_eighths);
   return out.record();
 }
 
@@ -191,36 +192,37 @@
   if (!payload) return std::nullopt;
   RecordReader in(*payload);
   if (in.kind<Tag>() != Tag::published) return std::nullopt;
-  PublishedMember p;
-  p.address = read_address(in);
-  p.storage_id = in.number();
-  p.free_eighths = static_cast<std::uint8_t>(in.number());
-  if (!in.good || !p.address) return std::nullopt;
-  return p;
+  PublishedMember published;
+  published.address = read_address(in);
+  published.storage_id = in.number();
+  published.free_eighths = static_cast<std::uint8_t>(in.number());
+  if (!in.good || !published.address) return std::nullopt;
+  return published;
 }
 
-std::string format_record(std::uint64_t life, std::string_view member) {
-  return RecordWriter(RecordKind::format).number(kFormat).number(life).text(member).record();
+std::string format_record(std::uint64_t storage_id, std::string_view member) {
+  return RecordWriter(RecordKind::format).number(kFormat).number(storage_id).text(member).record();
 }
 
-std::string group_record(const GroupId& id, const GroupConfig& head, MemberIndex self) {
+std::string group_record(const GroupId& id, const GroupConfig& config, MemberIndex self) {
   RecordWriter out(RecordKind::group);
   write(out, id);
-  write(out, head);
+  write(out, config);
   return out.number(self).record();
 }
 
-std::string promise_record(const GroupId& id, std::uint64_t promised, MemberIndex owner) {
+std::string promise_record(const GroupId& id, std::uint64_t promised_epoch, MemberIndex owner) {
   RecordWriter out(RecordKind::promise);
   write(out, id);
-  return out.number(promised).number(owner).record();
+  return out.number(promised_epoch).number(owner).record();
 }
 
-std::string item_record(const GroupId& id, const std::string& item_id, const Item& item, Duration wall) {
+std::string item_record(const GroupId& id, const std::string& item_id, const Item& item,
+                        Duration wall_offset) {
   RecordWriter out(RecordKind::item);
   write(out, id);
   out.text(item_id);
-  write(out, item, Time{} - wall);
+  write(out, item, Time{} - wall_offset);
   return out.record();
 }
 
@@ -236,8 +238,8 @@
   return out.record();
 }
 
-std::string clock_record(std::uint64_t boot, Duration wall) {
-  return RecordWriter(RecordKind::clock).number(boot).duration(wall).record();
+std::string clock_record(std::uint64_t boot, Duration wall_offset) {
+  return RecordWriter(RecordKind::clock).number(boot).duration(wall_offset).record();
 }
 
 std::string synced_record(std::uint64_t bytes) {
@@ -246,8 +248,8 @@
 
 namespace {
 
-// Whether a record behind what can't be read says that the file was synced beyond that.
-bool was_synced(std::string_view file, std::size_t beyond) {
+// Returns whether a record after the unreadable position `beyond` states that the file was synced past it.
+bool was_synced_beyond(std::string_view file, std::size_t beyond) {
   for (std::size_t at = beyond; at + myrtlegrade::kRecordHeaderBytes < file.size(); ++at) {
     const auto payload = RecordReader(file.substr(at)).record();
     if (!payload || payload->empty()) continue;
@@ -257,38 +259,38 @@
   return false;
 }
 
-// One record into what was read before it. False: it can't be.
-bool take(StoredState& all, std::string_view payload, Duration& wall, std::uint64_t boot) {
+// Applies one record to the state read so far. Returns false if the record is invalid.
+bool apply_record(StoredState& state, std::string_view payload, Duration& wall_offset, std::uint64_t boot) {
   RecordReader in(payload);
   const auto kind = in.kind<RecordKind>();
   if (kind == RecordKind::format) {
-    all.newer_format = in.number() > kFormat;
-    if (all.newer_format) return false;
-    all.storage_id = in.number();
-    all.member = in.text();
+    state.newer_format = in.number() > kFormat;
+    if (state.newer_format) return false;
+    state.storage_id = in.number();
+    state.member = in.text();
     return in.good && in.empty();
   }
   if (kind == RecordKind::synced) {
     (void)in.number();
-    all.has_sync_records = true;
+    state.has_sync_records = true;
     return in.good && in.empty();
   }
   if (kind == RecordKind::clock) {
-    const std::uint64_t written_in = in.number();
-    const auto written_by = Duration(static_cast<std::int64_t>(in.number()));
-    if (boot != 0 && written_in == boot) all.wall_offset = wall = written_by;
+    const std::uint64_t record_boot = in.number();
+    const auto record_wall_offset = Duration(static_cast<std::int64_t>(in.number()));
+    if (boot != 0 && record_boot == boot) state.wall_offset = wall_offset = record_wall_offset;
     return in.good && in.empty();
   }
-  const GroupId id = read_id(in);
-  const auto found = all.groups.find(id);
+  const GroupId id = read_group_id(in);
+  const auto found = state.groups.find(id);
   if (kind == RecordKind::group) {
-    const GroupConfig head = read_head(in);
+    const GroupConfig config = read_config(in);
     const std::uint64_t self = in.number();
     if (!in.good || self >= kGroupSize) return false;
-    all.groups.insert_or_assign(id, StoredState::Entry{head, static_cast<MemberIndex>(self), {}});
+    state.groups.insert_or_assign(id, StoredState::Entry{config, static_cast<MemberIndex>(self), {}});
     return in.empty();
   }
-  if (found == all.groups.end()) return false;
+  if (found == state.groups.end()) return false;
   Group::DurableState& durable = found->second.durable;
   switch (kind) {
     case RecordKind::promise:
@@ -297,7 +299,7 @@
       break;
     case RecordKind::item: {
       const std::string item_id = in.text();
-      Item item = read_item(in, Time{} - wall);
+      Item item = read_item(in, Time{} - wall_offset);
       if (in.good) durable.items.insert_or_assign(item_id, std::move(item));
       break;
     }
@@ -305,7 +307,7 @@
       durable.items.erase(in.text());
       break;
     case RecordKind::drop:
-      all.groups.erase(found);
+      state.groups.erase(found);
       break;
     default:
       return false;
@@ -315,24 +317,25 @@
 
 }  // namespace
 
-// Nothing behind a record that can't be read counts. It was torn off where it is cut short or, in a file that
-// says how much of it was synced, lies beyond that; else it is damaged.
-StoredState read_stored(std::string_view file, Duration wall, std::uint64_t boot) {
-  StoredState all;
+// Ignores everything from the first unreadable record on. The tail counts as torn if the record is cut short
+// or, in a file with sync records, lies past the synced length; otherwise the file is damaged.
+StoredState read_stored(std::string_view file, Duration wall_offset, std::uint64_t boot) {
+  StoredState state;
   RecordReader outer(file);
   while (!outer.empty()) {
-    const std::string_view rest = file.substr(all.valid_bytes);
+    const std::string_view rest = file.substr(state.valid_bytes);
     const auto payload = outer.record();
-    if (!payload || !take(all, *payload, wall, boot)) {
-      const bool cut =
+    if (!payload || !apply_record(state, *payload, wall_offset, boot)) {
+      const bool cut_short =
           !payload && (rest.size() < myrtlegrade::kRecordHeaderBytes ||
                        rest.size() < myrtlegrade::kRecordHeaderBytes + RecordReader(rest).number(4));
-      all.damaged = !all.newer_format && (all.has_sync_records ? was_synced(file, all.valid_bytes) : !cut);
+      state.damaged = !state.newer_format &&
+                      (state.has_sync_records ? was_synced_beyond(file, state.valid_bytes) : !cut_short);
       break;
     }
-    all.valid_bytes += myrtlegrade::kRecordHeaderBytes + payload->size();
+    state.valid_bytes += myrtlegrade::kRecordHeaderBytes + payload->size();
   }
-  return all;
+  return state;
 }
 
 }  // namespace valedrum::copies
--- a/copies/expiry_queue.h
+++ b/copies/expiry_queue.h
@@ -1,18 +1,18 @@
-// When the messages of a group have to have their ends, and how long those that hold them leave that to their
-// owner.
+// The live messages of one group by deadline, and the time limits for reporting those that nobody completes.
 //
-// A notice is owed kNoticeOwed after a message's time, and each holder keeps that by itself: it can't know
-// whether the other one lives, nor what that one has told. Two notices of one message do no harm. These add
-// up to what is owed:
+// The notice of an undelivered message is due within kNoticeDeadline after the message's deadline. Each
+// holder ensures this by itself, as it cannot know whether the other holder is alive or has sent the notice;
+// a second notice of the same message does no harm. The time is divided into:
 //
-//   kClockError     by which a message's time may be late here: it is the owner's, translated by the quickest
-//                   word of the connection, and that one knows it to a tick of the kernel's timer
-//   kLeftToOwner    that a holder waits for an owner that it hears
-//   kLongestHoldUp  that a relay may be held up for, once, anywhere on this way
-//   kNoticeTakes    that its notice takes: a try that gets no answer, the pause behind it, and the next one's
-//                   way (NoticeSender, where so little time is left)
+//   kClockError          how late the message's deadline may be on this member. It is the owner's deadline,
+//                        translated by the smallest clock offset seen on the connection, and the owner knows
+//                        it to one tick of the kernel's timer.
+//   kOwnerGracePeriod    how long a holder leaves an expired message to an owner that it still hears from
+//   kMaxStall            a single stall of a relay process anywhere on the way
+//   kNoticeDeliveryTime  delivery of the notice: an unanswered attempt, the pause after it, and the transit
+//                        of the next attempt (see NoticeSender for the case of little time left)
 //
-// An owner that has been silent for longer than one that runs would be is not waited for.
+// A holder grants no grace period to an owner that has been silent for longer than a running owner would be.
 #pragma once
 
 #include <map>
@@ -30,19 +30,20 @@
 inline constexpr Duration kClockError = std::chrono::milliseconds(20);
 inline constexpr Duration kOwnerGracePeriod = kNoticeDeadline - kMaxStall - kNoticeDeliveryTime - kClockError;
 
-// The messages of one group that have no end yet, by their time. Each comes out once.
+// The live messages of one group, ordered by deadline. Each message is removed for expiry at most once.
 class ExpiryQueue {
  public:
-  // As it is by now; none: it is forgotten.
+  // Sets the current state of a message; null if the group has forgotten it.
   void update(const std::string& id, const Item* item);
-  // When the first one is to be ended here, where its owner counts as silent from then on.
-  Time next(Time silent_from) const;
+  // Returns when the first message expires here, given the time from which its owner counts as silent.
+  Time next(Time owner_silent_from) const;
+  // Removes the message with the earliest deadline and returns its id. The queue must not be empty.
   std::string pop_first();
 
  private:
-  std::map<std::string, Time, std::less<>> times_;
-  std::set<std::pair<Time, std::string>> by_time_;
-  std::set<std::string, std::less<>> told_;
+  std::map<std::string, Time, std::less<>> deadlines_;
+  std::set<std::pair<Time, std::string>> by_deadline_;
+  std::set<std::string, std::less<>> popped_;
 };
 
 }  // namespace valedrum::copies
--- a/copies/group.cpp
+++ b/copies/group.cpp
@@ -10,51 +10,52 @@
 using namespace std::chrono_literals;
 
 constexpr Time kNever = Time::max();
-constexpr Duration kClockStep = 1ms;  // less is not worth another look at what is held
+constexpr Duration kMinOffsetChange = 1ms;  // smaller corrections do not justify a pass over all deadlines
 
 }  // namespace
 
-Group::Group(const Settings& settings, Role shape, DurableState durable, Start start, Time now)
-    : settings_(settings), shape_(shape), durable_(std::move(durable)) {
+Group::Group(const Settings& settings, Role role, DurableState durable, Start start, Time now)
+    : settings_(settings), role_(role), durable_(std::move(durable)) {
   if (start == Start::opened) {
-    owns_ = shape_.index == 0;
+    is_owner_ = role_.index == 0;
   } else {
-    if (broken(DisabledSafeguard::durable_promise)) durable_ = {1, 0, std::move(durable_.items)};
-    // Whom it is bound to is on disk, for how long is not: as if it had been bound this moment. Its own
-    // ownership ended with its process, and its calls did: it may ask for a new one at once.
-    const bool own = durable_.owner == shape_.index;
-    if (!own && !broken(DisabledSafeguard::restart_wait)) bound_until_ = now + settings_.lease;
+    if (is_disabled(DisabledSafeguard::durable_promise)) durable_ = {1, 0, std::move(durable_.items)};
+    // The owner that this member is bound to is on disk, the end of the lease is not: assume a full lease
+    // from now. If this member was the owner itself, its ownership and its calls ended with the previous
+    // process, and it may request votes at once.
+    const bool own = durable_.owner == role_.index;
+    if (!own && !is_disabled(DisabledSafeguard::restart_wait)) promise_expires_at_ = now + settings_.lease;
     for (auto& [id, item] : durable_.items) {
       for (Attempt& a : item.attempts) {
-        if (a.sender == shape_.index && a.state == AttemptState::in_flight)
+        if (a.sender == role_.index && a.state == AttemptState::in_flight)
           a.state = AttemptState::may_have_run;
       }
     }
   }
-  seen_ = durable_.promised_epoch;
+  highest_epoch_seen_ = durable_.promised_epoch;
   for (const auto& [id, item] : durable_.items) live_ += item.live() ? 1 : 0;
 }
 
 // ------------------------------------------------------------------------------------- as the owner
 
 bool Group::holds_lease(Time now) const {
-  if (!owns_) return false;
-  if (broken(DisabledSafeguard::lease)) return true;
+  if (!is_owner_) return false;
+  if (is_disabled(DisabledSafeguard::lease)) return true;
   return std::ranges::any_of(peers_, [&](const Peer& p) {
-    return p.lease_from && now < *p.lease_from + settings_.lease - settings_.lease_margin;
+    return p.lease_start && now < *p.lease_start + settings_.lease - settings_.lease_margin;
   });
 }
 
 bool Group::may_call(std::string_view id, Time now) const {
   const Item* item = find(id);
   if (!item || item->completed || item->attempts.empty() || !holds_lease(now)) return false;
-  return broken(DisabledSafeguard::replicated_intent) || replica_count(id, false) > 0;
+  return is_disabled(DisabledSafeguard::replicated_intent) || replica_count(id, false) > 0;
 }
 
 void Group::put(std::string id, Item item) {
   item.version = {durable_.promised_epoch, ++revision_};
   for (MemberIndex p = 0; p < kGroupSize; ++p) {
-    if (p != shape_.index) peers_[p].unsent.insert(id);
+    if (p != role_.index) peers_[p].unsent.insert(id);
   }
   store(id, std::move(item));
 }
@@ -65,44 +66,44 @@
 }
 
 unsigned Group::replica_count(std::string_view id, bool bodies) const {
-  unsigned n = 0;
+  unsigned count = 0;
   for (MemberIndex p = 0; p < kGroupSize; ++p)
-    n += (!bodies || shape_.stores_bodies(p)) && is_up_to_date(p, id) ? 1 : 0;
-  return n;
+    count += (!bodies || role_.stores_bodies(p)) && is_up_to_date(p, id) ? 1 : 0;
+  return count;
 }
 
 bool Group::is_up_to_date(MemberIndex other, std::string_view id) const {
   const Item* item = find(id);
-  if (!item || other == shape_.index) return false;
+  if (!item || other == role_.index) return false;
   const auto acked = peers_[other].acked.find(id);
   return acked != peers_[other].acked.end() && acked->second >= item->version;
 }
 
 void Group::append(Time now, MemberIndex to) {
   Peer& peer = peers_[to];
-  GroupMessage s = say(now, GroupMessageKind::append);
+  GroupMessage message = make_message(now, GroupMessageKind::append);
   for (const std::string& id : std::exchange(peer.unsent, {})) {
     const auto found = durable_.items.find(id);
     if (found == durable_.items.end()) continue;
-    Item& item = s.items.emplace(id, found->second).first->second;
-    if (!shape_.stores_bodies(to) || peer.acked.contains(id)) item.payload = nullptr;
+    Item& item = message.items.emplace(id, found->second).first->second;
+    if (!role_.stores_bodies(to) || peer.acked.contains(id)) item.payload = nullptr;
   }
   peer.sent_at = now;
-  out_.emplace_back(to, std::move(s));
+  outgoing_.emplace_back(to, std::move(message));
 }
 
 void Group::flush(Time now) {
-  if (!owns_) return;
+  if (!is_owner_) return;
   for (MemberIndex p = 0; p < kGroupSize; ++p) {
-    if (p != shape_.index && !peers_[p].unsent.empty()) append(now, p);
+    if (p != role_.index && !peers_[p].unsent.empty()) append(now, p);
   }
 }
 
 void Group::reconnected(MemberIndex other) {
-  std::erase_if(told_, [&](const auto& entry) { return entry.second.by == other; });
-  shifts_[other].reset();
+  std::erase_if(reported_deadlines_, [&](const auto& entry) { return entry.second.sender == other; });
+  clock_offsets_[other].reset();
   Peer& peer = peers_[other];
-  if (!owns_) return;
+  if (!is_owner_) return;
   for (const auto& [id, item] : durable_.items) {
     const auto acked = peer.acked.find(id);
     if (acked == peer.acked.end() || acked->second < item.version) peer.unsent.insert(id);
@@ -111,135 +112,138 @@
 
 // ------------------------------------------------------------------------------------------ events
 
-GroupMessage Group::say(Time now, GroupMessageKind kind) const {
-  return {kind, shape_.index, durable_.promised_epoch, now, {}, {}};
+GroupMessage Group::make_message(Time now, GroupMessageKind kind) const {
+  return {kind, role_.index, durable_.promised_epoch, now, {}, {}};
 }
 
-void Group::receive(Time now, const GroupMessage& s, Duration shift) {
-  if (s.sender >= kGroupSize || s.sender == shape_.index) return;
-  seen_ = std::max(seen_, s.epoch);
-  correct(s.sender, shift);
-  switch (s.kind) {
+void Group::receive(Time now, const GroupMessage& message, Duration clock_offset) {
+  if (message.sender >= kGroupSize || message.sender == role_.index) return;
+  highest_epoch_seen_ = std::max(highest_epoch_seen_, message.epoch);
+  update_clock_offset(message.sender, clock_offset);
+  switch (message.kind) {
     case GroupMessageKind::append:
-      return on_append(now, s, shift);
+      return on_append(now, message, clock_offset);
     case GroupMessageKind::ack:
-      return on_ack(now, s);
+      return on_ack(now, message);
     case GroupMessageKind::vote_request:
-      return on_ask(now, s);
+      return on_vote_request(now, message);
     case GroupMessageKind::vote:
-      return on_vote(now, s, shift);
+      return on_vote(now, message, clock_offset);
     case GroupMessageKind::reject:
-      return on_refuse(s);
+      return on_reject(message);
   }
 }
 
-void Group::on_append(Time now, const GroupMessage& s, Duration shift) {
-  const bool newer = s.epoch > durable_.promised_epoch;
-  const bool own = s.epoch == durable_.promised_epoch && s.sender == durable_.owner;
-  if (!newer && !own && !broken(DisabledSafeguard::epoch_fence)) {
-    out_.emplace_back(s.sender, say(now, GroupMessageKind::reject));
+void Group::on_append(Time now, const GroupMessage& message, Duration clock_offset) {
+  const bool newer = message.epoch > durable_.promised_epoch;
+  const bool current = message.epoch == durable_.promised_epoch && message.sender == durable_.owner;
+  if (!newer && !current && !is_disabled(DisabledSafeguard::epoch_fence)) {
+    outgoing_.emplace_back(message.sender, make_message(now, GroupMessageKind::reject));
     return;
   }
   step_down();
-  merge(s, shift);
-  if (newer) promise(s.epoch, s.sender);
-  bound_until_ = now + settings_.lease;
-  asked_ = 0;
-  GroupMessage answer = say(now, GroupMessageKind::ack);
-  answer.epoch = s.epoch;
-  answer.echoed_sent_at = s.sent_at;
-  for (const auto& [id, item] : s.items) answer.items[id].version = item.version;
-  out_.emplace_back(s.sender, std::move(answer));
+  merge(message, clock_offset);
+  if (newer) promise(message.epoch, message.sender);
+  promise_expires_at_ = now + settings_.lease;
+  candidate_epoch_ = 0;
+  GroupMessage answer = make_message(now, GroupMessageKind::ack);
+  answer.epoch = message.epoch;
+  answer.echoed_sent_at = message.sent_at;
+  for (const auto& [id, item] : message.items) answer.items[id].version = item.version;
+  outgoing_.emplace_back(message.sender, std::move(answer));
 }
 
-void Group::on_ack(Time now, const GroupMessage& s) {
-  if (!owns_ || s.epoch != durable_.promised_epoch) return;
-  Peer& peer = peers_[s.sender];
-  const Time from = broken(DisabledSafeguard::lease_start) ? now : s.echoed_sent_at;
-  peer.lease_from = std::max(peer.lease_from.value_or(from), from);
-  for (const auto& [id, item] : s.items) {
+void Group::on_ack(Time now, const GroupMessage& message) {
+  if (!is_owner_ || message.epoch != durable_.promised_epoch) return;
+  Peer& peer = peers_[message.sender];
+  const Time start = is_disabled(DisabledSafeguard::lease_start) ? now : message.echoed_sent_at;
+  peer.lease_start = std::max(peer.lease_start.value_or(start), start);
+  for (const auto& [id, item] : message.items) {
     if (!durable_.items.contains(id)) continue;
     ItemVersion& acked = peer.acked[id];
     acked = std::max(acked, item.version);
   }
 }
 
-// Bound by a lease to another it has no vote to give; where the lease is the candidate's own, that one has
-// begun anew.
-void Group::on_ask(Time now, const GroupMessage& s) {
+// A member that is bound by a lease to another member must not vote. If the lease is the candidate's own, the
+// candidate has restarted.
+void Group::on_vote_request(Time now, const GroupMessage& message) {
   const bool bound =
-      durable_.owner != s.sender &&
-      (owns_ ? holds_lease(now) : now < bound_until_ && !broken(DisabledSafeguard::vote_withholding));
-  if (s.epoch <= durable_.promised_epoch || bound) {
-    out_.emplace_back(s.sender, say(now, GroupMessageKind::reject));
+      durable_.owner != message.sender &&
+      (is_owner_ ? holds_lease(now)
+                 : now < promise_expires_at_ && !is_disabled(DisabledSafeguard::vote_withholding));
+  if (message.epoch <= durable_.promised_epoch || bound) {
+    outgoing_.emplace_back(message.sender, make_message(now, GroupMessageKind::reject));
     return;
   }
   step_down();
-  promise(s.epoch, s.sender);
-  GroupMessage answer = say(now, GroupMessageKind::vote);
-  if (!broken(DisabledSafeguard::vote_merge)) answer.items = durable_.items;
-  out_.emplace_back(s.sender, std::move(answer));
+  promise(message.epoch, message.sender);
+  GroupMessage answer = make_message(now, GroupMessageKind::vote);
+  if (!is_disabled(DisabledSafeguard::vote_merge)) answer.items = durable_.items;
+  outgoing_.emplace_back(message.sender, std::move(answer));
 }
 
-// Its own vote is given here and not when it asked: until then it may still have been bound by another's
-// word.
-void Group::on_vote(Time now, const GroupMessage& s, Duration shift) {
-  if (owns_ || asked_ == 0 || s.epoch != asked_ || s.epoch <= durable_.promised_epoch || now < bound_until_)
+// The candidate casts its own vote here rather than with its request: in between it may have been bound by
+// the append of another owner.
+void Group::on_vote(Time now, const GroupMessage& message, Duration clock_offset) {
+  if (is_owner_ || candidate_epoch_ == 0 || message.epoch != candidate_epoch_ ||
+      message.epoch <= durable_.promised_epoch || now < promise_expires_at_)
     return;
-  merge(s, shift);
-  win(now);
+  merge(message, clock_offset);
+  become_owner(now);
 }
 
-void Group::win(Time now) {
-  promise(asked_, shape_.index);
-  asked_ = 0;
-  owns_ = true;
-  turn_ = OwnershipChange::gained;
+void Group::become_owner(Time now) {
+  promise(candidate_epoch_, role_.index);
+  candidate_epoch_ = 0;
+  is_owner_ = true;
+  ownership_change_ = OwnershipChange::gained;
   revision_ = 0;
   peers_ = {};
   std::vector<std::string> all;
   for (const auto& [id, item] : durable_.items) all.push_back(id);
   for (std::string& id : all) put(id, durable_.items.at(id));
-  // An empty one too: without an answer to it there is no lease.
+  // Sends an empty append too: the lease starts with its acknowledgement.
   for (MemberIndex p = 0; p < kGroupSize; ++p) {
-    if (p != shape_.index) append(now, p);
+    if (p != role_.index) append(now, p);
   }
 }
 
-void Group::on_refuse(const GroupMessage& s) {
-  if (owns_ && s.epoch > durable_.promised_epoch) step_down();
+void Group::on_reject(const GroupMessage& message) {
+  if (is_owner_ && message.epoch > durable_.promised_epoch) step_down();
 }
 
-// A word that took long has a time come late by here. One that took less shows it. A shift that grows is that
-// of clocks that run apart: it is for what is told from now on.
-void Group::correct(MemberIndex from, Duration shift) {
-  std::optional<Duration>& used = shifts_[from];
-  const bool less = !used || shift + kClockStep <= *used;
-  if (less || shift > *used) used = shift;
-  if (!less) return;
-  for (const auto& [id, told] : told_) {
+// A message with a long transit time makes the deadlines in it too late here; a later, smaller offset shows
+// that, and the deadlines are corrected. A growing offset means that the clocks drift and applies to new
+// deadlines only.
+void Group::update_clock_offset(MemberIndex sender, Duration clock_offset) {
+  std::optional<Duration>& used = clock_offsets_[sender];
+  const bool smaller = !used || clock_offset + kMinOffsetChange <= *used;
+  if (smaller || clock_offset > *used) used = clock_offset;
+  if (!smaller) return;
+  for (const auto& [id, reported] : reported_deadlines_) {
     Item& item = durable_.items.at(id);
-    if (told.by != from || item.deadline <= told.until + shift) continue;
-    item.deadline = told.until + shift;
-    changed_.items.push_back(id);
+    if (reported.sender != sender || item.deadline <= reported.deadline + clock_offset) continue;
+    item.deadline = reported.deadline + clock_offset;
+    changes_.items.push_back(id);
   }
 }
 
-// Each state of an item holds all that those before it held, so the newest is all that is known.
-void Group::merge(const GroupMessage& s, Duration shift) {
-  for (const auto& [id, told] : s.items) {
+// Each version of an item contains everything that earlier versions contained, so the newest one is kept.
+void Group::merge(const GroupMessage& message, Duration clock_offset) {
+  for (const auto& [id, received] : message.items) {
     const Item* own = find(id);
-    const bool newer = !own || own->version < told.version;
-    const bool body = own && !own->completed && !own->payload && told.payload;
-    if (!newer && !body) continue;
-    Item item = newer ? told : *own;
+    const bool newer = !own || own->version < received.version;
+    const bool adds_body = own && !own->completed && !own->payload && received.payload;
+    if (!newer && !adds_body) continue;
+    Item item = newer ? received : *own;
     if (newer) {
-      item.deadline = std::min(item.deadline + shift, own ? own->deadline : Time::max());
-      for (Attempt& a : item.attempts) a.sent_at += shift;
+      item.deadline = std::min(item.deadline + clock_offset, own ? own->deadline : Time::max());
+      for (Attempt& a : item.attempts) a.sent_at += clock_offset;
     }
-    if (!item.payload) item.payload = own ? own->payload : told.payload;
-    if (body) item.payload = told.payload;
-    if (newer) told_.insert_or_assign(id, Told{s.sender, told.deadline});
+    if (!item.payload) item.payload = own ? own->payload : received.payload;
+    if (adds_body) item.payload = received.payload;
+    if (newer) reported_deadlines_.insert_or_assign(id, ReportedDeadline{message.sender, received.deadline});
     store(id, std::move(item));
   }
 }
@@ -250,96 +254,96 @@
   if (!added && at->second.live()) --live_;
   at->second = std::move(item);
   live_ += at->second.live() ? 1 : 0;
-  if (!at->second.live()) told_.erase(id);
-  changed_.items.push_back(id);
+  if (!at->second.live()) reported_deadlines_.erase(id);
+  changes_.items.push_back(id);
 }
 
 void Group::step_down() {
-  if (!std::exchange(owns_, false)) return;
-  turn_ = OwnershipChange::lost;
+  if (!std::exchange(is_owner_, false)) return;
+  ownership_change_ = OwnershipChange::lost;
   peers_ = {};
 }
 
 void Group::promise(std::uint64_t epoch, MemberIndex owner) {
   durable_.promised_epoch = epoch;
   durable_.owner = owner;
-  seen_ = std::max(seen_, epoch);
-  changed_.promise = true;
+  highest_epoch_seen_ = std::max(highest_epoch_seen_, epoch);
+  changes_.promise = true;
 }
 
 bool Group::is_orphaned(const Attempt& a) const {
-  return a.state == AttemptState::in_flight && a.sender != shape_.index &&
-         !broken(DisabledSafeguard::orphan_check);
+  return a.state == AttemptState::in_flight && a.sender != role_.index &&
+         !is_disabled(DisabledSafeguard::orphan_check);
 }
 
 void Group::wake(Time now) {
-  if (owns_) {
+  if (is_owner_) {
     if (live_ == 0) return;
     for (MemberIndex p = 0; p < kGroupSize; ++p) {
-      if (p != shape_.index && now >= peers_[p].sent_at + settings_.renewal_interval) append(now, p);
+      if (p != role_.index && now >= peers_[p].sent_at + settings_.renewal_interval) append(now, p);
     }
     return;
   }
   if (now < next_wake()) return;
-  asked_ = std::max(seen_, durable_.promised_epoch) + 1;
-  // Those behind the first wait longer, so that two do not ask in step for ever.
-  ask_at_ = now + settings_.vote_retry_interval * (1 + shape_.index);
-  if (broken(DisabledSafeguard::majority)) return win(now);
+  candidate_epoch_ = std::max(highest_epoch_seen_, durable_.promised_epoch) + 1;
+  // The interval grows with the member index, so that two candidates do not repeat requests in lockstep.
+  next_vote_request_at_ = now + settings_.vote_retry_interval * (1 + role_.index);
+  if (is_disabled(DisabledSafeguard::majority)) return become_owner(now);
   for (MemberIndex p = 0; p < kGroupSize; ++p) {
-    if (p == shape_.index) continue;
-    GroupMessage s = say(now, GroupMessageKind::vote_request);
-    s.epoch = asked_;
-    out_.emplace_back(p, std::move(s));
+    if (p == role_.index) continue;
+    GroupMessage message = make_message(now, GroupMessageKind::vote_request);
+    message.epoch = candidate_epoch_;
+    outgoing_.emplace_back(p, std::move(message));
   }
 }
 
 Time Group::next_wake() const {
   if (live_ == 0) return kNever;
-  if (!owns_) {
-    if (!shape_.stores_bodies(shape_.index)) return kNever;
-    return std::max(bound_until_, ask_at_);
+  if (!is_owner_) {
+    if (!role_.stores_bodies(role_.index)) return kNever;
+    return std::max(promise_expires_at_, next_vote_request_at_);
   }
   Time next = kNever;
   for (MemberIndex p = 0; p < kGroupSize; ++p) {
-    if (p != shape_.index) next = std::min(next, peers_[p].sent_at + settings_.renewal_interval);
+    if (p != role_.index) next = std::min(next, peers_[p].sent_at + settings_.renewal_interval);
   }
   return next;
 }
 
 Time Group::owner_silent_from() const {
-  return owns_ ? kNever : bound_until_ - settings_.lease + settings_.renewal_interval + kMaxStall;
+  return is_owner_ ? kNever : promise_expires_at_ - settings_.lease + settings_.renewal_interval + kMaxStall;
 }
 
-void Group::prune(Time now, Duration keep) {
+void Group::prune(Time now, Duration retention) {
   for (auto at = durable_.items.begin(); at != durable_.items.end();) {
-    if (now < at->second.deadline + keep) {
+    if (now < at->second.deadline + retention) {
       ++at;
       continue;
     }
     live_ -= at->second.live() ? 1 : 0;
-    changed_.items.push_back(at->first);
+    changes_.items.push_back(at->first);
     for (Peer& p : peers_) {
       p.unsent.erase(at->first);
       p.acked.erase(at->first);
     }
-    told_.erase(at->first);
+    reported_deadlines_.erase(at->first);
     at = durable_.items.erase(at);
   }
 }
 
 void Group::describe(Time now, std::string& out) const {
   const auto number = [&out](std::uint64_t n) { out += static_cast<char>(std::min<std::uint64_t>(n, 255)); };
-  // What has passed is passed, however long ago.
+  // Times in the past are all alike.
   const auto ahead = [&](Time t) {
     number(t > now ? static_cast<std::uint64_t>((t - now) / 1ms) / 10 + 1 : 0);
   };
-  number(owns_ ? 1 : 0);
+  number(is_owner_ ? 1 : 0);
   number(durable_.promised_epoch);
   number(durable_.owner);
-  number(seen_);
-  number(asked_);
-  ahead(bound_until_);
-  if (!owns_) ahead(ask_at_);
+  number(highest_epoch_seen_);
+  number(candidate_epoch_);
+  ahead(promise_expires_at_);
+  if (!is_owner_) ahead(next_vote_request_at_);
   for (const auto& [id, item] : durable_.items) {
     out += id;
     number(item.version.epoch);
@@ -350,12 +354,12 @@
       number(a.sender);
     }
   }
-  if (!owns_) return;
+  if (!is_owner_) return;
   for (const Peer& p : peers_) {
-    ahead(p.lease_from ? *p.lease_from + settings_.lease - settings_.lease_margin : Time{});
+    ahead(p.lease_start ? *p.lease_start + settings_.lease - settings_.lease_margin : Time{});
     ahead(p.sent_at + settings_.renewal_interval);
     number(p.unsent.size());
-    for (const auto& [id, stamp] : p.acked) number(stamp.revision);
+    for (const auto& [id, version] : p.acked) number(version.revision);
   }
 }
 
--- a/tests/copies_check_test.cpp
+++ b/tests/copies_check_test.cpp
@@ -1,4 +1,5 @@
-// The ownership exchange in every order of events, within small bounds; and broken on purpose.
+// Model check of the ownership protocol: every order of events within small bounds, with and without each
+// safeguard.
 #include <gtest/gtest.h>
 
 #include "ownership.h"
@@ -8,44 +9,44 @@
 
 using copies::DisabledSafeguard;
 
-struct Case {
+struct BoundedCase {
   unsigned leases, crashes, losses, questions, attempts, copies;
   bool once;
-  DisabledSafeguard without;
+  DisabledSafeguard disabled;
 };
 
-OwnershipResult explore(const Case& c) {
-  OwnershipBounds b;
-  b.ticks = c.leases;
-  b.crashes = c.crashes;
-  b.losses = c.losses;
-  b.questions = c.questions;
-  b.attempts = c.attempts;
-  b.copies = c.copies;
-  b.once = c.once;
-  b.without = c.without;
-  return explore(b);
+OwnershipResult explore(const BoundedCase& parameters) {
+  OwnershipBounds bounds;
+  bounds.ticks = parameters.leases;
+  bounds.crashes = parameters.crashes;
+  bounds.losses = parameters.losses;
+  bounds.questions = parameters.questions;
+  bounds.attempts = parameters.attempts;
+  bounds.copies = parameters.copies;
+  bounds.once = parameters.once;
+  bounds.without = parameters.disabled;
+  return explore(bounds);
 }
 
-class Ownership : public testing::TestWithParam<Case> {};
+class Ownership : public testing::TestWithParam<BoundedCase> {};
 
 TEST_P(Ownership, HoldsInEveryOrderAndIsSeenToBreak) {
-  const Case c = GetParam();
-  const OwnershipResult r = explore(c);
-  std::string story;
-  for (const std::string& line : r.story) story += line + "\n";
-  if (c.without == DisabledSafeguard::none) {
-    EXPECT_EQ(r.broken, "") << story;
-    EXPECT_TRUE(r.whole);
-    EXPECT_GT(r.takeovers, 0U);
-    EXPECT_GT(r.calls, 0U);
+  const BoundedCase parameters = GetParam();
+  const OwnershipResult result = explore(parameters);
+  std::string trace;
+  for (const std::string& line : result.story) trace += line + "\n";
+  if (parameters.disabled == DisabledSafeguard::none) {
+    EXPECT_EQ(result.broken, "") << trace;
+    EXPECT_TRUE(result.whole);
+    EXPECT_GT(result.takeovers, 0U);
+    EXPECT_GT(result.calls, 0U);
   } else {
-    EXPECT_NE(r.broken, "");
-    EXPECT_GT(r.story.size(), 2U);
+    EXPECT_NE(result.broken, "");
+    EXPECT_GT(result.story.size(), 2U);
   }
 }
 
-constexpr Case kCases[] = {
+constexpr BoundedCase kCases[] = {
     {1, 0, 0, 1, 2, 2, true, DisabledSafeguard::none},
     {1, 0, 0, 1, 2, 2, false, DisabledSafeguard::none},
     {1, 1, 0, 1, 1, 2, true, DisabledSafeguard::none},
--- a/tests/copies_ends_test.cpp
+++ b/tests/copies_ends_test.cpp
@@ -1,4 +1,4 @@
-// By when those that hold a message end it where nobody else does, in virtual time.
+// When holders send the notice of a message that nobody else completes, in virtual time.
 #include <gtest/gtest.h>
 
 #include "copies/copies.h"
@@ -8,47 +8,48 @@
 
 using namespace std::chrono_literals;
 
-// Of the page: a notice is owed so long after a message's time, and a relay may be held up for so long. What
-// is left is for the holder's wait and for its notice's tries (NoticeSender).
-constexpr Duration kPageOwed = 300ms, kPageHoldUp = 150ms, kTries = 100ms;
+// Required bounds: a notice is due this long after the deadline of its message, and a relay process may stall
+// for this long. The remainder covers the holder's wait and the delivery attempts of the notice
+// (NoticeSender).
+constexpr Duration kRequiredNotice = 300ms, kRequiredStall = 150ms, kDeliveryAttempts = 100ms;
 
-std::string name_of(MemberIndex place) {
+std::string name_of(MemberIndex index) {
   std::string name(1, 'n');
-  return name += std::to_string(place);
+  return name += std::to_string(index);
 }
 
-// A member of a group of n0's, and what n0 says to it. Both clocks agree.
+// A member of a group whose origin is n0, and the messages of n0 to it. Both clocks agree.
 class Holder {
  public:
-  explicit Holder(MemberIndex place) {
+  explicit Holder(MemberIndex index) {
     LocalMember self;
-    self.identity.name = name_of(place);
+    self.identity.name = name_of(index);
     copies_.emplace(CopiesSettings{}, self, StoredState{}, 3, now_);
-    word_.group = {"n0", 17};
-    word_.config.emplace();
+    envelope_.group = {"n0", 17};
+    envelope_.config.emplace();
     for (MemberIndex p = 0; p < kGroupSize; ++p)
-      word_.config->members[p] = {name_of(p), p == place ? copies_->storage_id() : 5U + p, {p + 1U, 1}};
-    word_.message.epoch = 1;
+      envelope_.config->members[p] = {name_of(p), p == index ? copies_->storage_id() : 5U + p, {p + 1U, 1}};
+    envelope_.message.epoch = 1;
   }
 
   Time now() const { return now_; }
   Copies& copies() { return *copies_; }
-  // The owner says what it does; the word takes so long.
-  void hear(Items items, Duration takes = {}) {
-    word_.message.sent_at = now_ - takes;
-    word_.message.items = std::move(items);
-    for (auto& [id, item] : word_.message.items) item.version = {1, ++revision_};
-    copies_->receive(now_, "n0", {{word_}, false});
+  // Delivers an append of the owner whose transit took `transit`.
+  void receive_append(Items items, Duration transit = {}) {
+    envelope_.message.sent_at = now_ - transit;
+    envelope_.message.items = std::move(items);
+    for (auto& [id, item] : envelope_.message.items) item.version = {1, ++revision_};
+    copies_->receive(now_, "n0", {{envelope_}, false});
   }
-  static Item lasting(Time until) {
+  static Item item_until(Time deadline) {
     Item item;
-    item.deadline = until;
+    item.deadline = deadline;
     item.payload = std::make_shared<const Payload>(Payload{"a", "c", "", "body", 1, true});
     return item;
   }
-  // Its notices up to then, with their time.
+  // Runs the holder up to `until` and returns the ids that expired, with their times.
   std::map<std::string, Time> run(Time until) {
-    std::map<std::string, Time> ended;
+    std::map<std::string, Time> expiries;
     while (now_ < until) {
       now_ = std::min(until, std::max(now_ + 1us, copies_->next_wake()));
       copies_->wake(now_);
@@ -56,119 +57,123 @@
       copies_->take_frames();
       for (const CopyEvent& e : copies_->take_events()) {
         if (const auto* expired = std::get_if<Expired>(&e)) {
-          EXPECT_TRUE(ended.emplace(expired->id, now_).second) << expired->id << " is ended twice";
+          EXPECT_TRUE(expiries.emplace(expired->id, now_).second) << expired->id << " expires twice";
         }
       }
     }
-    return ended;
+    return expiries;
   }
 
  private:
   Time now_{100s};
   std::optional<Copies> copies_;
-  Envelope word_;
+  Envelope envelope_;
   std::uint64_t revision_ = 0;
 };
 
-// Either holder by itself, whatever the phase of its sweeps: the pauses of a holder and a hold-up of 0.15 s
-// were together more than the 300 ms that a notice is owed within.
+// Guards against a holder that leaves too little time for its notice: the interval between its sweeps and a
+// stall of 150 ms together must not exceed the 300 ms that a notice is due within. Either holder must keep
+// the bound by itself, in any phase of its sweeps.
 TEST(CopiesEnds, AHolderAloneLeavesTimeForAHoldUpAndItsNotice) {
-  for (const MemberIndex place : {MemberIndex{1}, MemberIndex{2}}) {
+  for (const MemberIndex index : {MemberIndex{1}, MemberIndex{2}}) {
     for (Duration phase = 0ms; phase < 100ms; phase += 7ms) {
-      for (const Duration heard : {Duration(0ms), Duration(100ms), Duration(800ms)}) {  // before its time
-        Holder h(place);
-        h.hear({{"first", Holder::lasting(h.now() + 5s)}});
-        h.run(h.now() + 1s + phase);
-        const Time until = h.now() + heard + 10ms;
-        h.hear({{"a", Holder::lasting(until)}});
-        const auto ended = h.run(until + kPageOwed);
-        ASSERT_TRUE(ended.contains("a"));
-        EXPECT_GE(ended.at("a"), until) << "before its time";
-        EXPECT_LE(ended.at("a") + kPageHoldUp + kTries, until + kPageOwed)
-            << "n" << int{place} << ", phase " << phase / 1ms << " ms: " << (ended.at("a") - until) / 1ms
-            << " ms after its time";
+      for (const Duration received_before :
+           {Duration(0ms), Duration(100ms), Duration(800ms)}) {  // before the deadline
+        Holder holder(index);
+        holder.receive_append({{"first", Holder::item_until(holder.now() + 5s)}});
+        holder.run(holder.now() + 1s + phase);
+        const Time deadline = holder.now() + received_before + 10ms;
+        holder.receive_append({{"a", Holder::item_until(deadline)}});
+        const auto expiries = holder.run(deadline + kRequiredNotice);
+        ASSERT_TRUE(expiries.contains("a"));
+        EXPECT_GE(expiries.at("a"), deadline) << "before the deadline";
+        EXPECT_LE(expiries.at("a") + kRequiredStall + kDeliveryAttempts, deadline + kRequiredNotice)
+            << "n" << int{index} << ", phase " << phase / 1ms
+            << " ms: " << (expiries.at("a") - deadline) / 1ms << " ms after the deadline";
       }
     }
   }
 }
 
-// A holder that rested: it looked at what it held each 10 s while that was nothing.
+// Guards against late notices of an idle holder: it sweeps only every 10 s while it stores nothing, and must
+// expire a new message in time nevertheless.
 TEST(CopiesEnds, AHolderThatRestedEndsANewMessageInTime) {
-  Holder h(1);
+  Holder holder(1);
   for (const char* id : {"a", "b"}) {
-    const Time until = h.now() + 1s;
-    h.hear({{id, Holder::lasting(until)}});
-    EXPECT_TRUE(h.run(until + kPageOwed).contains(id));
-    EXPECT_TRUE(h.run(h.now() + 4s).empty());  // it is forgotten by then
+    const Time deadline = holder.now() + 1s;
+    holder.receive_append({{id, Holder::item_until(deadline)}});
+    EXPECT_TRUE(holder.run(deadline + kRequiredNotice).contains(id));
+    EXPECT_TRUE(holder.run(holder.now() + 4s).empty());  // by then the message is forgotten
   }
 }
 
-// The first word of a connection was held up, and a message's time was late by as much for good, for the
-// notice and for an heir.
+// Guards against a deadline that stays too late: the first message of a connection is delayed by a stall,
+// which makes the deadlines in it late by as much, for the notice and for a new owner. A later, faster
+// message must correct them.
 TEST(CopiesEnds, AQuickerWordCorrectsTheTimeThatASlowOneTold) {
-  Holder h(1);
-  const Time until = h.now() + 1s;
-  h.hear({{"a", Holder::lasting(until)}}, kPageHoldUp);
-  EXPECT_EQ(h.copies().find("a")->deadline, until + kPageHoldUp);
-  h.run(h.now() + 250ms);
-  h.hear({}, 2ms);
-  EXPECT_EQ(h.copies().find("a")->deadline, until + 2ms);
-  EXPECT_LE(h.run(until + kPageOwed).at("a"), until + kClockError + kOwnerGracePeriod);
+  Holder holder(1);
+  const Time deadline = holder.now() + 1s;
+  holder.receive_append({{"a", Holder::item_until(deadline)}}, kRequiredStall);
+  EXPECT_EQ(holder.copies().find("a")->deadline, deadline + kRequiredStall);
+  holder.run(holder.now() + 250ms);
+  holder.receive_append({}, 2ms);
+  EXPECT_EQ(holder.copies().find("a")->deadline, deadline + 2ms);
+  EXPECT_LE(holder.run(deadline + kRequiredNotice).at("a"), deadline + kClockError + kOwnerGracePeriod);
 }
 
-// The least that any word of a connection took was believed for as long as it lasted: where the holder's
-// clock ran faster, it ended messages of a healthy owner before their time.
+// Guards against a clock offset that never expires: if the minimum over the whole connection were used, a
+// holder whose clock runs faster would expire messages of a healthy owner before their deadline.
 TEST(CopiesEnds, ClocksThatRunApartEndNoMessageBeforeItsTime) {
-  constexpr Duration kRenew = 250ms, kWay = 1ms;
-  constexpr std::int64_t kApart = 10'000;  // 100 millionths
-  Holder h(1);
-  const Time began = h.now();
-  const auto behind = [&] { return (h.now() - began) / kApart; };
-  while (h.now() < began + 10min) {
-    h.hear({}, kWay + behind());
-    h.run(h.now() + kRenew);
+  constexpr Duration kRenewalInterval = 250ms, kTransit = 1ms;
+  constexpr std::int64_t kDriftDivisor = 10'000;  // 100 ppm
+  Holder holder(1);
+  const Time start = holder.now();
+  const auto drift = [&] { return (holder.now() - start) / kDriftDivisor; };
+  while (holder.now() < start + 10min) {
+    holder.receive_append({}, kTransit + drift());
+    holder.run(holder.now() + kRenewalInterval);
   }
-  const Time until = h.now() + 1s;
-  h.hear({{"a", Holder::lasting(until - behind())}}, kWay + behind());
-  const Time ended = h.run(until + kPageOwed).at("a");
-  EXPECT_GE(ended, until);
-  EXPECT_LE(ended, until + kClockError + kOwnerGracePeriod);
+  const Time deadline = holder.now() + 1s;
+  holder.receive_append({{"a", Holder::item_until(deadline - drift())}}, kTransit + drift());
+  const Time expiry = holder.run(deadline + kRequiredNotice).at("a");
+  EXPECT_GE(expiry, deadline);
+  EXPECT_LE(expiry, deadline + kClockError + kOwnerGracePeriod);
 }
 
-// An owner that is heard ends its messages itself, also where it is a little late: the holders' notices would
-// come to as many as its own.
+// Guards against needless notices: an owner that is heard completes its messages itself, even a little late;
+// otherwise the holders would double the number of notices.
 TEST(CopiesEnds, AnOwnerThatIsHeardIsLeftAloneAsLongAsTheBoundAllows) {
-  Holder h(1);
-  const Time until = h.now() + 1s;
-  h.hear({{"a", Holder::lasting(until)}, {"b", Holder::lasting(until)}});
-  h.run(until - 200ms);
-  h.hear({});
-  EXPECT_TRUE(h.run(until + kOwnerGracePeriod - 1ms).empty());
-  Item over = Holder::lasting(until);
-  over.completed = true;
-  h.hear({{"a", over}});
-  const auto ended = h.run(until + 1s);
-  EXPECT_FALSE(ended.contains("a"));
-  EXPECT_EQ(ended.at("b"), until + kOwnerGracePeriod);
+  Holder holder(1);
+  const Time deadline = holder.now() + 1s;
+  holder.receive_append({{"a", Holder::item_until(deadline)}, {"b", Holder::item_until(deadline)}});
+  holder.run(deadline - 200ms);
+  holder.receive_append({});
+  EXPECT_TRUE(holder.run(deadline + kOwnerGracePeriod - 1ms).empty());
+  Item completed = Holder::item_until(deadline);
+  completed.completed = true;
+  holder.receive_append({{"a", completed}});
+  const auto expiries = holder.run(deadline + 1s);
+  EXPECT_FALSE(expiries.contains("a"));
+  EXPECT_EQ(expiries.at("b"), deadline + kOwnerGracePeriod);
 }
 
-// One that has been silent is not waited for: what a wait would cost could be needed for the notice.
+// A silent owner gets no grace period, as the time may be needed for the notice.
 TEST(CopiesEnds, AnOwnerThatIsSilentIsNotWaitedFor) {
-  Holder h(1);
-  const Time until = h.now() + 600ms;
-  h.hear({{"a", Holder::lasting(until)}});
-  EXPECT_EQ(h.run(until + 1s).at("a"), until);
+  Holder holder(1);
+  const Time deadline = holder.now() + 600ms;
+  holder.receive_append({{"a", Holder::item_until(deadline)}});
+  EXPECT_EQ(holder.run(deadline + 1s).at("a"), deadline);
 }
 
-// Found again in the folder, what had its time meanwhile is ended at once.
+// A message read from the state folder whose deadline passed in the meantime expires at once.
 TEST(CopiesEnds, AProcessThatComesBackEndsWhatHadItsTime) {
-  Holder h(1);
-  const Time until = h.now() + 500ms;
-  h.hear({{"a", Holder::lasting(until)}});
-  const std::string file = h.copies().snapshot({});
-  Copies again({}, {}, read_stored(file, {}), 4, until + 100ms);
-  EXPECT_LE(again.next_wake(), until + 100ms);
-  again.wake(until + 100ms);
+  Holder holder(1);
+  const Time deadline = holder.now() + 500ms;
+  holder.receive_append({{"a", Holder::item_until(deadline)}});
+  const std::string file = holder.copies().snapshot({});
+  Copies again({}, {}, read_stored(file, {}), 4, deadline + 100ms);
+  EXPECT_LE(again.next_wake(), deadline + 100ms);
+  again.wake(deadline + 100ms);
   EXPECT_EQ(again.take_events().size(), 1U);
 }
 
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -1,4 +1,4 @@
-// Copies in virtual time, their form on the wire and on disk, and what may not be taken.
+// Replication in virtual time, its encoding on the wire and on disk, and input that must be rejected.
 #include "copies/copies.h"
 
 #include <gtest/gtest.h>
@@ -15,24 +15,24 @@
 using copies::Time;
 using namespace std::chrono_literals;
 
-CopyResult play(std::uint64_t seed, DisabledSafeguard without = DisabledSafeguard::none) {
+CopyResult play(std::uint64_t seed, DisabledSafeguard disabled = DisabledSafeguard::none) {
   CopyDay day = copy_day(seed, 16);
-  day.settings.disabled_safeguard = without;
+  day.settings.disabled_safeguard = disabled;
   return play_copies(day);
 }
 
 TEST(CopiesDays, RandomFaultsBreakNoRule) {
-  std::uint64_t inherited = 0, of_heirs = 0, promised = 0;
+  std::uint64_t taken_over = 0, new_owner_calls = 0, accepted = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     const CopyResult r = play(seed);
     EXPECT_TRUE(r.rules_kept()) << "seed " << seed << "\n" << r.first;
-    inherited += r.inherited;
-    of_heirs += r.calls_of_heirs;
-    promised += r.promised;
+    taken_over += r.inherited;
+    new_owner_calls += r.calls_of_heirs;
+    accepted += r.promised;
   }
-  EXPECT_GT(inherited, 100U);
-  EXPECT_GT(of_heirs, 50U);
-  EXPECT_GT(promised, 20000U);
+  EXPECT_GT(taken_over, 100U);
+  EXPECT_GT(new_owner_calls, 50U);
+  EXPECT_GT(accepted, 20000U);
 }
 
 TEST(CopiesDays, ThirtyInAHundredLostInASecond) {
@@ -47,7 +47,7 @@
   EXPECT_GT(r.inherited, 20U);
 }
 
-// A frozen owner is no dead one: its heirs end what it took, and it sends nothing of that when it wakes up.
+// A stopped owner that resumes must not send messages that new owners have completed in the meantime.
 TEST(CopiesDays, HalfOfAllAreStoppedForSeconds) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CopyDay day;
@@ -62,6 +62,7 @@
   }
 }
 
+// Each disabled safeguard must lead to a broken rule within the first 150 seeds.
 class CopiesBroken : public testing::TestWithParam<DisabledSafeguard> {};
 TEST_P(CopiesBroken, ASmallNumberOfDaysShowsIt) {
   std::uint64_t seed = 1;
@@ -73,38 +74,40 @@
                                          DisabledSafeguard::majority, DisabledSafeguard::vote_merge,
                                          DisabledSafeguard::orphan_check));
 
-// ------------------------------------------------------------------------------------ one by itself
+// ------------------------------------------------------------------------------------ a single relay
 
-struct Alone {
+// One relay without connections, with simulated candidates.
+struct SingleRelay {
   Time now{100s};
   copies::CopiesSettings settings;
   std::string file;
   std::optional<Copies> copies;
-  explicit Alone(const std::string& kept = {}) { start(kept); }
-  void start(const std::string& kept) {
+  explicit SingleRelay(const std::string& stored = {}) { start(stored); }
+  void start(const std::string& stored) {
     copies::LocalMember self;
     self.identity.name = "n0";
     self.identity.address = {1, 1};
     self.machine = "m0";
-    copies.emplace(settings, self, copies::read_stored(kept, {}), 7, now);
+    copies.emplace(settings, self, copies::read_stored(stored, {}), 7, now);
   }
-  void others(std::uint32_t n, std::uint64_t life = 5) {
-    std::vector<copies::Candidate> all(n);
-    for (std::uint32_t i = 0; i < n; ++i) {
+  void set_candidates(std::uint32_t count, std::uint64_t storage_id = 5) {
+    std::vector<copies::Candidate> all(count);
+    for (std::uint32_t i = 0; i < count; ++i) {
       all[i].identity.name = std::string("n") + static_cast<char>('1' + i);
-      all[i].identity.storage_id = life;
+      all[i].identity.storage_id = storage_id;
       all[i].identity.address = {i + 2, 1};
       all[i].machine = std::string("m") + static_cast<char>('1' + i);
     }
     copies->set_candidates(now, all);
   }
-  static copies::Item item(Time until, bool once = true) {
+  static copies::Item item(Time deadline, bool at_most_once = true) {
     copies::Item i;
-    i.deadline = until;
-    i.payload = std::make_shared<const copies::Payload>(copies::Payload{"a", "c", "", "body", 1, once});
+    i.deadline = deadline;
+    i.payload =
+        std::make_shared<const copies::Payload>(copies::Payload{"a", "c", "", "body", 1, at_most_once});
     return i;
   }
-  std::vector<bool> done() {
+  std::vector<bool> completed_tickets() {
     std::vector<bool> all;
     for (const auto& e : copies->take_events()) {
       if (const auto* d = std::get_if<copies::TicketCompleted>(&e)) all.push_back(d->succeeded);
@@ -114,150 +117,155 @@
 };
 
 TEST(CopiesAlone, WithoutTwoOtherMachinesItRefusesOrTakesAlone) {
-  Alone a;
-  a.others(1);
-  EXPECT_EQ(a.copies->add(a.now, "a", Alone::item(a.now + 5s)), Copies::Placement::refused);
-  a.settings.on_shortage = copies::ShortagePolicy::accept;
-  a.start({});
-  EXPECT_EQ(a.copies->add(a.now, "a", Alone::item(a.now + 5s)), Copies::Placement::local_only);
-  EXPECT_TRUE(a.copies->may_call(a.now, "a"));
-  a.copies->complete(a.now, "a");
-  EXPECT_FALSE(a.copies->may_call(a.now, "a"));  // what is forgotten is not called
+  SingleRelay relay;
+  relay.set_candidates(1);
+  EXPECT_EQ(relay.copies->add(relay.now, "a", SingleRelay::item(relay.now + 5s)), Copies::Placement::refused);
+  relay.settings.on_shortage = copies::ShortagePolicy::accept;
+  relay.start({});
+  EXPECT_EQ(relay.copies->add(relay.now, "a", SingleRelay::item(relay.now + 5s)),
+            Copies::Placement::local_only);
+  EXPECT_TRUE(relay.copies->may_call(relay.now, "a"));
+  relay.copies->complete(relay.now, "a");
+  EXPECT_FALSE(relay.copies->may_call(relay.now, "a"));  // a forgotten message is not called
 }
 
-// An upgrade starts the new process with the configuration of the old one, seed included.
+// An upgrade starts the new process with the configuration of the old one, seed included, so that it draws
+// the same group ids: they must not replace the groups of its predecessor in the file.
 TEST(CopiesAlone, WithTheSeedOfTheProcessBeforeItKeepsThatOnesGroups) {
-  Alone a;
-  a.others(4);
-  ASSERT_EQ(a.copies->add(a.now, "a", Alone::item(a.now + 5s)), Copies::Placement::placed);
-  const std::string kept = a.copies->snapshot({});
-  a.start(kept);
-  a.others(4);
-  constexpr int kMany = 200;  // in all shards
-  for (int i = 0; i < kMany; ++i) {
+  SingleRelay relay;
+  relay.set_candidates(4);
+  ASSERT_EQ(relay.copies->add(relay.now, "a", SingleRelay::item(relay.now + 5s)), Copies::Placement::placed);
+  const std::string file = relay.copies->snapshot({});
+  relay.start(file);
+  relay.set_candidates(4);
+  constexpr int kMessages = 200;  // in all shards
+  for (int i = 0; i < kMessages; ++i) {
     std::string id(1, 'b');
     id += std::to_string(i);
-    EXPECT_EQ(a.copies->add(a.now, id, Alone::item(a.now + 5s)), Copies::Placement::placed);
+    EXPECT_EQ(relay.copies->add(relay.now, id, SingleRelay::item(relay.now + 5s)), Copies::Placement::placed);
   }
-  const copies::StoredState stored = copies::read_stored(kept + a.copies->take_records({}), {});
+  const copies::StoredState stored = copies::read_stored(file + relay.copies->take_records({}), {});
   ASSERT_FALSE(stored.damaged);
-  const auto has_it = [](const auto& group) { return group.second.durable.items.contains("a"); };
-  EXPECT_TRUE(std::ranges::any_of(stored.groups, has_it));
+  const auto has_message = [](const auto& group) { return group.second.durable.items.contains("a"); };
+  EXPECT_TRUE(std::ranges::any_of(stored.groups, has_message));
 }
 
-// The time of day is set while no process runs: within one run of the machine what was held is held as long
-// as before.
+// If the time of day is set while no process runs, deadlines read from the file must not change within one
+// boot of the machine.
 TEST(CopiesAlone, AFileIsReadByTheClockOfItsRunOfTheMachine) {
   constexpr std::uint64_t kBoot = 77;
-  Alone a;
-  a.others(4);
-  const Time until = a.now + 5s;
-  ASSERT_EQ(a.copies->add(a.now, "a", Alone::item(until)), Copies::Placement::placed);
-  const std::string file = a.copies->snapshot(1000h, kBoot);
-  const auto kept_until = [&](copies::Duration wall, std::uint64_t boot) {
-    const copies::StoredState stored = copies::read_stored(file, wall, boot);
+  SingleRelay relay;
+  relay.set_candidates(4);
+  const Time deadline = relay.now + 5s;
+  ASSERT_EQ(relay.copies->add(relay.now, "a", SingleRelay::item(deadline)), Copies::Placement::placed);
+  const std::string file = relay.copies->snapshot(1000h, kBoot);
+  const auto stored_deadline = [&](copies::Duration wall_offset, std::uint64_t boot) {
+    const copies::StoredState stored = copies::read_stored(file, wall_offset, boot);
     EXPECT_FALSE(stored.damaged);
     EXPECT_EQ(stored.wall_offset.has_value(), boot == kBoot);
     return stored.groups.begin()->second.durable.items.at("a").deadline;
   };
-  for (const copies::Duration set : {-1h, 0h, 1h}) EXPECT_EQ(kept_until(1000h + set, kBoot), until);
-  EXPECT_EQ(kept_until(1001h, kBoot + 1), until - 1h)
-      << "after a restart of the machine the time of day is all there is";
+  for (const copies::Duration clock_step : {-1h, 0h, 1h})
+    EXPECT_EQ(stored_deadline(1000h + clock_step, kBoot), deadline);
+  EXPECT_EQ(stored_deadline(1001h, kBoot + 1), deadline - 1h)
+      << "after a reboot only the time of day is known";
 }
 
 TEST(CopiesAlone, SilentHoldersAreLeftOutAndOthersTaken) {
-  Alone a;
-  a.others(4);
-  EXPECT_EQ(a.copies->add(a.now, "a", Alone::item(a.now + 5s)), Copies::Placement::placed);
-  a.copies->add_attempt(a.now, "a", {"host", "zone"});
-  EXPECT_FALSE(a.copies->may_call(a.now, "a"));
-  a.copies->wait_for(a.now, {"a"}, Copies::Requirement::acceptance);
-  a.copies->flush(a.now);
-  const auto first = a.copies->take_frames();
+  SingleRelay relay;
+  relay.set_candidates(4);
+  EXPECT_EQ(relay.copies->add(relay.now, "a", SingleRelay::item(relay.now + 5s)), Copies::Placement::placed);
+  relay.copies->add_attempt(relay.now, "a", {"host", "zone"});
+  EXPECT_FALSE(relay.copies->may_call(relay.now, "a"));
+  relay.copies->wait_for(relay.now, {"a"}, Copies::Requirement::acceptance);
+  relay.copies->flush(relay.now);
+  const auto first = relay.copies->take_frames();
   ASSERT_EQ(first.size(), 2U);
-  a.now += a.settings.answer_timeout;
-  a.copies->wake(a.now);
-  EXPECT_EQ(a.done(), std::vector<bool>{false});
-  // Nobody of the first group is asked again for the next message.
-  EXPECT_EQ(a.copies->add(a.now, "b", Alone::item(a.now + 5s)), Copies::Placement::placed);
-  a.copies->take_frames();
-  a.copies->flush(a.now);
-  for (const auto& frame : a.copies->take_frames()) {
+  relay.now += relay.settings.answer_timeout;
+  relay.copies->wake(relay.now);
+  EXPECT_EQ(relay.completed_tickets(), std::vector<bool>{false});
+  // The next message goes to no member of the first group.
+  EXPECT_EQ(relay.copies->add(relay.now, "b", SingleRelay::item(relay.now + 5s)), Copies::Placement::placed);
+  relay.copies->take_frames();
+  relay.copies->flush(relay.now);
+  for (const auto& frame : relay.copies->take_frames()) {
     for (const auto& before : first) EXPECT_NE(frame.to.name, before.to.name);
   }
 }
 
-// Handed back as its time is up, with nobody left who could be told: the wait for them is part of what the
-// notice is owed within.
+// A message is handed back at its deadline while no other member answers: the wait for them counts towards
+// the time within which the notice is due.
 TEST(CopiesAlone, AHandBackWaitsNoLongerThanItsNoticeIsOwed) {
-  Alone a;
-  a.others(2);
-  const Time until = a.now + 5s;
-  a.copies->add(a.now, "a", Alone::item(until));
+  SingleRelay relay;
+  relay.set_candidates(2);
+  const Time deadline = relay.now + 5s;
+  relay.copies->add(relay.now, "a", SingleRelay::item(deadline));
   for (const copies::Duration before : {500ms, 10ms, 0ms, -50ms}) {
-    a.now = until - before;
-    a.copies->set_pending_notice(a.now, "a", {true, {}});
-    a.copies->wait_for(a.now, {"a"}, Copies::Requirement::notice);
-    a.copies->flush(a.now);
-    const Time told = std::max(a.now, std::min(a.now + a.settings.answer_timeout, until + 50ms));
-    EXPECT_TRUE(a.now == told || a.copies->next_wake() <= told) << before / 1ms;
-    a.now = told;
-    a.copies->wake(a.now);
-    EXPECT_EQ(a.done(), std::vector<bool>{false}) << before / 1ms;
+    relay.now = deadline - before;
+    relay.copies->set_pending_notice(relay.now, "a", {true, {}});
+    relay.copies->wait_for(relay.now, {"a"}, Copies::Requirement::notice);
+    relay.copies->flush(relay.now);
+    const Time completion =
+        std::max(relay.now, std::min(relay.now + relay.settings.answer_timeout, deadline + 50ms));
+    EXPECT_TRUE(relay.now == completion || relay.copies->next_wake() <= completion) << before / 1ms;
+    relay.now = completion;
+    relay.copies->wake(relay.now);
+    EXPECT_EQ(relay.completed_tickets(), std::vector<bool>{false}) << before / 1ms;
   }
 }
 
 TEST(CopiesAlone, AFolderKeepsGroupsAndALostOneIsAnotherLife) {
-  Alone a;
-  a.others(3);
-  a.copies->add(a.now, "a", Alone::item(a.now + 5s));
-  a.copies->flush(a.now);
-  const std::string file = a.copies->snapshot({});
-  Alone again(file);
-  EXPECT_EQ(again.copies->storage_id(), a.copies->storage_id());
-  ASSERT_NE(again.copies->find("a"), nullptr);
-  EXPECT_FALSE(again.copies->is_owner("a"));  // until others have said so
-  EXPECT_FALSE(again.copies->may_call(again.now, "a"));
-  EXPECT_NE(Alone().copies->find("a"), again.copies->find("a"));
+  SingleRelay relay;
+  relay.set_candidates(3);
+  relay.copies->add(relay.now, "a", SingleRelay::item(relay.now + 5s));
+  relay.copies->flush(relay.now);
+  const std::string file = relay.copies->snapshot({});
+  SingleRelay restarted(file);
+  EXPECT_EQ(restarted.copies->storage_id(), relay.copies->storage_id());
+  ASSERT_NE(restarted.copies->find("a"), nullptr);
+  EXPECT_FALSE(restarted.copies->is_owner("a"));  // until other members have voted for it
+  EXPECT_FALSE(restarted.copies->may_call(restarted.now, "a"));
+  EXPECT_NE(SingleRelay().copies->find("a"), restarted.copies->find("a"));
 
-  // Torn at every byte: what is whole counts. Spoilt before its end: nothing of it does.
+  // A file that is cut at any byte is read up to its last complete record. A corrupted byte before the end
+  // marks it as damaged or ends the readable part.
   for (std::size_t n = 0; n < file.size(); ++n) {
     const copies::StoredState torn = copies::read_stored(file.substr(0, n), {});
     EXPECT_FALSE(torn.damaged) << n;
     EXPECT_LE(torn.valid_bytes, n);
   }
-  std::string spoilt = file;
-  spoilt[file.size() / 2] = static_cast<char>(spoilt[file.size() / 2] ^ 1);
-  const copies::StoredState read = copies::read_stored(spoilt, {});
+  std::string corrupted = file;
+  corrupted[file.size() / 2] = static_cast<char>(corrupted[file.size() / 2] ^ 1);
+  const copies::StoredState read = copies::read_stored(corrupted, {});
   EXPECT_TRUE(read.damaged || read.valid_bytes < file.size());
 }
 
 TEST(CopiesAlone, OneThatHasLostItsFolderJoinsNoOldGroup) {
-  Alone a;
-  a.others(2, 5);  // the life that they have by now is another one
-  a.copies->add(a.now, "a", Alone::item(a.now + 5s));
-  a.copies->flush(a.now);
-  const auto frames = a.copies->take_frames();
+  SingleRelay relay;
+  relay.set_candidates(2, 5);  // their current storage ids differ
+  relay.copies->add(relay.now, "a", SingleRelay::item(relay.now + 5s));
+  relay.copies->flush(relay.now);
+  const auto frames = relay.copies->take_frames();
   ASSERT_EQ(frames.size(), 2U);
   copies::LocalMember self;
   self.identity.name = frames[0].to.name;
   self.identity.address = frames[0].to.address;
   self.machine = "m1";
-  Copies holder({}, self, {}, 3, a.now);
+  Copies holder({}, self, {}, 3, relay.now);
   myrtlegrade::RecordReader in(frames[0].frame);
   const auto frame = copies::decode_frame(*in.record());
   ASSERT_TRUE(frame);
-  holder.receive(a.now, "n0", *frame);
+  holder.receive(relay.now, "n0", *frame);
   EXPECT_EQ(holder.find("a"), nullptr);
-  EXPECT_EQ(holder.take_frames().size(), 1U);  // says that it does not know the group
+  EXPECT_EQ(holder.take_frames().size(), 1U);  // a reject: the group is unknown
 }
 
 TEST(CopiesFrames, WhatIsCutLongerOrOfALaterVersionIsNotRead) {
-  Alone a;
-  a.others(2);
-  a.copies->add(a.now, "a", Alone::item(a.now + 5s));
-  a.copies->flush(a.now);
-  const std::string record = a.copies->take_frames().front().frame;
+  SingleRelay relay;
+  relay.set_candidates(2);
+  relay.copies->add(relay.now, "a", SingleRelay::item(relay.now + 5s));
+  relay.copies->flush(relay.now);
+  const std::string record = relay.copies->take_frames().front().frame;
   const std::string bytes = record.substr(myrtlegrade::kRecordHeaderBytes);
   ASSERT_TRUE(copies::decode_frame(bytes));
   for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(copies::decode_frame(bytes.substr(0, n))) << n;
@@ -265,10 +273,11 @@
   std::string later = bytes;
   ++later[0];
   EXPECT_FALSE(copies::decode_frame(later));
-  for (std::size_t n = 0; n < bytes.size(); ++n) {  // whatever a spoilt byte makes of it, it is read or not
-    std::string spoilt = bytes;
-    spoilt[n] = static_cast<char>(spoilt[n] ^ 0x55);
-    if (const auto frame = copies::decode_frame(spoilt)) a.copies->receive(a.now, "n1", *frame);
+  // A corrupted frame is rejected, or decoded and handled without undefined behaviour.
+  for (std::size_t n = 0; n < bytes.size(); ++n) {
+    std::string corrupted = bytes;
+    corrupted[n] = static_cast<char>(corrupted[n] ^ 0x55);
+    if (const auto frame = copies::decode_frame(corrupted)) relay.copies->receive(relay.now, "n1", *frame);
   }
 }
 
