--- a/relay/admin_client.cpp
+++ b/relay/admin_client.cpp
@@ -18,30 +18,31 @@
 
 namespace {
 
-constexpr auto kReplyWithin = 2s;  // the relay owes it within one
+constexpr auto kReplyTimeout = 2s;  // the relay has to reply within 1 s
 
-asio::awaitable<void> exchange_lines(const Endpoint& address, const std::string& text, std::size_t most,
+asio::awaitable<void> exchange_lines(const Endpoint& address, const std::string& text, std::size_t max_bytes,
                                      std::optional<std::string>& reply) {
   constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
   asio::ip::tcp::socket socket(co_await asio::this_coro::executor);
-  const auto [refused] = co_await socket.async_connect(address, kAwait);
-  if (refused) co_return;
-  const auto failed = co_await write_all(StreamUse::second_address, socket, text);
-  if (failed) co_return;
+  const auto [connect_error] = co_await socket.async_connect(address, kAwait);
+  if (connect_error) co_return;
+  const auto write_error = co_await write_all(StreamUse::second_address, socket, text);
+  if (write_error) co_return;
   std::string line;
-  const auto [ended, size] =
-      co_await asio::async_read_until(socket, asio::dynamic_buffer(line, most), '\n', kAwait);
-  if (!ended) reply = line.substr(0, line.find_first_of("\r\n"));
+  const auto [read_error, size] =
+      co_await asio::async_read_until(socket, asio::dynamic_buffer(line, max_bytes), '\n', kAwait);
+  if (!read_error) reply = line.substr(0, line.find_first_of("\r\n"));
 }
 
 }  // namespace
 
-std::optional<std::string> ask_relay(const Endpoint& address, const std::string& line, std::size_t most) {
+std::optional<std::string> query_relay(const Endpoint& address, const std::string& line,
+                                       std::size_t max_bytes) {
   std::optional<std::string> reply;
   const std::string text = line + "\n";
   asio::io_context context(1);
-  spawn(context.get_executor(), exchange_lines(address, text, most, reply));
-  context.run_for(kReplyWithin);
+  spawn(context.get_executor(), exchange_lines(address, text, max_bytes, reply));
+  context.run_for(kReplyTimeout);
   return reply;
 }
 
--- a/relay/admin_client.h
+++ b/relay/admin_client.h
@@ -1,4 +1,4 @@
-// The caller's side of a relay's second address: one line there and one back.
+// Client of a relay's admin address: sends one line and receives one.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,9 @@
 
 namespace myrtlegrade {
 
-// The reply without its line's end, of `most` bytes at most; none if nobody answers in time.
-std::optional<std::string> ask_relay(const Endpoint& address, const std::string& line, std::size_t most);
+// Returns the reply without its line end, or nothing if no complete reply of at most `max_bytes` arrives in
+// time.
+std::optional<std::string> query_relay(const Endpoint& address, const std::string& line,
+                                       std::size_t max_bytes);
 
 }  // namespace myrtlegrade
--- a/relay/admin_server.cpp
+++ b/relay/admin_server.cpp
@@ -21,37 +21,39 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t kMostLine = 256;  // the longest call with the longest id that a list may name
-constexpr auto kLineWithin = 2s;        // from the connection's start: dripping gains nothing
-constexpr auto kReplyWithin = 1s;       // for the caller to take its reply, and to go
-constexpr auto kPause = 5ms;            // before accepting again where that failed
+// Fits the longest command with the longest id that a list may hold.
+constexpr std::size_t kMaxLineBytes = 256;
+// Counted from the start of the connection, so that a slow writer can't extend it.
+constexpr auto kLineTimeout = 2s;
+constexpr auto kReplyTimeout = 1s;  // for the client to read the reply and to close the connection
+constexpr auto kAcceptRetryDelay = 5ms;
 
 }  // namespace
 
-struct AdminServer::Caller {
-  explicit Caller(asio::ip::tcp::socket socket) : stream(std::move(socket)) {}
+struct AdminServer::Connection {
+  explicit Connection(asio::ip::tcp::socket socket) : stream(std::move(socket)) {}
   boost::beast::tcp_stream stream;
-  bool complete = false;  // its line has come
+  bool complete = false;  // the whole line has been received
 };
 
-AdminServer::AdminServer(asio::any_io_executor executor, const Endpoint& listen, OnCall on_call)
+AdminServer::AdminServer(asio::any_io_executor executor, const Endpoint& listen, Handler handler)
     : executor_(std::move(executor)),
       acceptor_(executor_, listen),
-      pause_(executor_),
-      on_call_(std::move(on_call)) {}
+      accept_retry_timer_(executor_),
+      handler_(std::move(handler)) {}
 
 void AdminServer::start() { spawn(executor_, accept()); }
 
-// One that has said nothing whole goes first: who comes with a call must get in at once.
-void AdminServer::make_room() {
-  for (const auto& caller : callers_) {
-    if (caller->complete) continue;
-    caller->stream.close();
-    callers_.remove(caller);
+// Stalled connections must not keep out a client that sends its command at once.
+void AdminServer::close_one_connection() {
+  for (const auto& connection : connections_) {
+    if (connection->complete) continue;
+    connection->stream.close();
+    connections_.remove(connection);
     return;
   }
-  callers_.front()->stream.close();
-  callers_.pop_front();
+  connections_.front()->stream.close();
+  connections_.pop_front();
 }
 
 asio::awaitable<void> AdminServer::accept() {
@@ -59,75 +61,75 @@
     auto [error, socket] = co_await accept_next(StreamUse::second_address, acceptor_);
     if (error == asio::error::operation_aborted) co_return;
     if (error) {
-      pause_.expires_after(kPause);
-      co_await pause_.async_wait(kAwait);
+      accept_retry_timer_.expires_after(kAcceptRetryDelay);
+      co_await accept_retry_timer_.async_wait(kAwait);
       continue;
     }
-    while (callers_.size() >= kMaxConnections) make_room();
-    spawn(executor_, serve(callers_.emplace_back(std::make_shared<Caller>(std::move(socket)))));
+    while (connections_.size() >= kMaxConnections) close_one_connection();
+    spawn(executor_, serve(connections_.emplace_back(std::make_shared<Connection>(std::move(socket)))));
   }
 }
 
-asio::awaitable<void> AdminServer::serve(std::shared_ptr<Caller> caller) {
+asio::awaitable<void> AdminServer::serve(std::shared_ptr<Connection> connection) {
   try {
-    co_await answer(*caller);
-  } catch (const std::exception& e) {  // one caller must not end the relay
+    co_await respond(*connection);
+  } catch (const std::exception& e) {  // a failing connection must not end the relay
     std::cerr << "second address: " << e.what() << '\n';
   }
-  caller->stream.close();
-  callers_.remove(caller);
+  connection->stream.close();
+  connections_.remove(connection);
 }
 
-asio::awaitable<void> AdminServer::answer(Caller& caller) {
-  std::array<char, kMostLine> bytes;
+asio::awaitable<void> AdminServer::respond(Connection& connection) {
+  std::array<char, kMaxLineBytes> bytes;
   std::string line;
-  caller.stream.expires_after(kLineWithin);
+  connection.stream.expires_after(kLineTimeout);
   std::string reply;
-  for (auto end = std::string::npos; !caller.complete;) {
-    const auto [error, count] =
-        co_await caller.stream.async_read_some(asio::buffer(bytes.data(), kMostLine - line.size()), kAwait);
+  for (auto end = std::string::npos; !connection.complete;) {
+    const auto [error, count] = co_await connection.stream.async_read_some(
+        asio::buffer(bytes.data(), kMaxLineBytes - line.size()), kAwait);
     line.append(bytes.data(), count);
     end = line.find('\n');
-    caller.complete = end != std::string::npos || (error == asio::error::eof && !line.empty());
-    if (caller.complete) {
+    connection.complete = end != std::string::npos || (error == asio::error::eof && !line.empty());
+    if (connection.complete) {
       line.resize(std::min(end, line.size()));
     } else if (error) {
-      co_return;  // gone, shed, or out of time with nothing said that could be answered
-    } else if (line.size() == kMostLine) {
+      co_return;  // closed by the client, closed to make room, or timed out without a complete line
+    } else if (line.size() == kMaxLineBytes) {
       reply = "NAK line too long";
       break;
     }
   }
-  if (caller.complete) {
+  if (connection.complete) {
     if (line.ends_with('\r')) line.pop_back();
-    reply = co_await ask(std::move(line));
+    reply = co_await handle(std::move(line));
   }
   reply += '\n';
-  caller.stream.expires_after(kReplyWithin);
-  const auto error = co_await write_all(StreamUse::second_address, caller.stream, reply);
+  connection.stream.expires_after(kReplyTimeout);
+  const auto error = co_await write_all(StreamUse::second_address, connection.stream, reply);
   if (error) co_return;
-  // A plain close() with unread bytes would reset the connection and may take the reply with it.
+  // close() with unread bytes would reset the connection, and the client could lose the reply.
   boost::system::error_code ignored;
-  caller.stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
+  connection.stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
   while (true) {
-    const auto [ended, count] = co_await caller.stream.async_read_some(asio::buffer(bytes), kAwait);
+    const auto [ended, count] = co_await connection.stream.async_read_some(asio::buffer(bytes), kAwait);
     if (ended) co_return;
   }
 }
 
-asio::awaitable<std::string> AdminServer::ask(std::string line) {
-  struct Pending {
-    explicit Pending(const asio::any_io_executor& executor)
-        : came(executor, asio::steady_timer::time_point::max()) {}
+asio::awaitable<std::string> AdminServer::handle(std::string line) {
+  struct PendingReply {
+    explicit PendingReply(const asio::any_io_executor& executor)
+        : arrived(executor, asio::steady_timer::time_point::max()) {}
     std::optional<std::string> reply;
-    asio::steady_timer came;
+    asio::steady_timer arrived;
   };
-  const auto pending = std::make_shared<Pending>(executor_);
-  on_call_(std::move(line), [pending](std::string reply) {
+  const auto pending = std::make_shared<PendingReply>(executor_);
+  handler_(std::move(line), [pending](std::string reply) {
     pending->reply = std::move(reply);
-    pending->came.cancel();
+    pending->arrived.cancel();
   });
-  while (!pending->reply) co_await pending->came.async_wait(kAwait);
+  while (!pending->reply) co_await pending->arrived.async_wait(kAwait);
   co_return *std::move(pending->reply);
 }
 
--- a/relay/command_admin.cpp
+++ b/relay/command_admin.cpp
@@ -15,31 +15,32 @@
 
 namespace {
 
-constexpr std::size_t kMostReply = 4096;  // bytes of the reply to a call
+constexpr std::size_t kMaxReplyBytes = 4096;
 
 }  // namespace
 
 Endpoint AdminCommand::address() const {
   if (!admin.empty()) return parse_endpoint(admin, "--admin");
-  if (const std::string own = from_environment("PROXY_ADMIN_ADDR"); !own.empty()) {
-    return parse_endpoint(own, "PROXY_ADMIN_ADDR");
+  if (const std::string from_env = from_environment("PROXY_ADMIN_ADDR"); !from_env.empty()) {
+    return parse_endpoint(from_env, "PROXY_ADMIN_ADDR");
   }
   const std::string path = config.empty() ? from_environment("PROXY_CONFIG") : config;
-  if (path.empty()) throw std::runtime_error("no second address: give --admin, --config or PROXY_ADMIN_ADDR");
+  if (path.empty()) throw std::runtime_error("no admin address: give --admin, --config or PROXY_ADMIN_ADDR");
   const std::string text = read_file(path);
   const Config c = parse_config(text, "");
-  if (!c.admin) throw std::runtime_error(path + ": names no second address (admin_addr)");
+  if (!c.admin) throw std::runtime_error(path + ": no admin address (admin_addr)");
   return *c.admin;
 }
 
 int AdminCommand::run() const {
-  if (id.find_first_of(" \r\n") != std::string::npos) throw std::runtime_error("an ID has no blanks");
+  if (id.find_first_of(" \r\n") != std::string::npos) throw std::runtime_error("ID must not contain blanks");
   const Endpoint at = address();
   const std::string line = id.empty() ? verb : verb + " " + id;
-  const std::optional<std::string> reply = ask_relay(at, line, kMostReply);
-  const bool yes = reply && (*reply == "ACK" || reply->starts_with("ACK "));
+  const std::optional<std::string> reply = query_relay(at, line, kMaxReplyBytes);
+  const bool acknowledged = reply && (*reply == "ACK" || reply->starts_with("ACK "));
   if (as_json) {
-    json::object o{{"call", line}, {"address", text_of(at)}, {"answered", reply.has_value()}, {"ok", yes}};
+    json::object o{
+        {"call", line}, {"address", to_string(at)}, {"answered", reply.has_value()}, {"ok", acknowledged}};
     if (reply) o["reply"] = *reply;
     std::cout << json::serialize(o) << '\n';
   } else if (reply) {
@@ -47,7 +48,7 @@
   } else {
     std::cerr << "myrtlegrade: nobody answers at " << at << '\n';
   }
-  return !reply ? kNobodyAnswers : yes ? 0 : kAnswerIsNo;
+  return !reply ? kNoResponse : acknowledged ? 0 : kNegativeResult;
 }
 
 }  // namespace myrtlegrade
--- a/relay/command_admin.h
+++ b/relay/command_admin.h
@@ -1,4 +1,4 @@
-// A call to a relay's second address from the command line: one line there, one line back.
+// Commands that send one line to the admin address of a running relay and print the one-line reply.
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 namespace myrtlegrade {
 
 struct AdminCommand {
-  std::string verb, id;       // id: of an endpoint; empty: none
-  std::string admin, config;  // the address, or the file that names it; empty: from the environment
+  std::string verb, id;       // `id` of an endpoint; empty: none
+  std::string admin, config;  // the admin address, or the file that names it; empty: from the environment
   bool as_json = false;
 
-  // Throws std::runtime_error where none is named.
+  // Returns the admin address. Throws std::runtime_error if none is given.
   Endpoint address() const;
 
   // Prints the reply, and returns the exit status.
--- a/relay/command_check.cpp
+++ b/relay/command_check.cpp
@@ -35,9 +35,9 @@
   return p;
 }
 
-// Where the field stands that a message names as "config: a.b.c: what" or "config: a.b.c is ...": the last of
-// its names that the text has.
-std::size_t place_of_field(const std::string& text, const std::string& what) {
+// Returns the offset in `text` of the field that an error names as "config: a.b.c: what" or "config: a.b.c is
+// ...". If the text lacks part of the path, this is the offset of the last name found.
+std::size_t offset_of_field(const std::string& text, const std::string& what) {
   constexpr std::string_view prefix = "config: ";
   std::string path = what.starts_with(prefix) ? what.substr(prefix.size()) : what;
   path = path.substr(0, path.find(':'));
@@ -50,8 +50,8 @@
   return at;
 }
 
-// The place where the text stops being JSON.
-std::size_t place_of_error(const std::string& text) {
+// Returns the offset at which the text stops being valid JSON.
+std::size_t offset_of_syntax_error(const std::string& text) {
   json::stream_parser parser;
   boost::system::error_code error;
   return parser.write_some(text, error);
@@ -62,22 +62,23 @@
 int CheckCommand::run() const {
   const std::string path = config.empty() ? from_environment("PROXY_CONFIG") : config;
   const std::string folder = state.empty() ? from_environment("PROXY_STATE") : state;
-  if (path.empty()) throw std::runtime_error("neither --config nor PROXY_CONFIG names a file");
+  if (path.empty()) throw std::runtime_error("no configuration: give --config or PROXY_CONFIG");
   const std::string text = read_file(path);
   Config c;
   try {
     c = parse_config(text, folder);
-    // As the module checks it at the start of a relay.
+    // The decision module checks its settings on construction, as at the start of a relay.
     const vetchhinge::Sender probe(c.settings);
   } catch (const std::exception& e) {
     boost::system::error_code error;
     (void)json::parse(text, error);
-    const Position at = position(text, error ? place_of_error(text) : place_of_field(text, e.what()));
+    const Position at =
+        position(text, error ? offset_of_syntax_error(text) : offset_of_field(text, e.what()));
     throw std::runtime_error(path + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " +
                              e.what());
   }
   if (!folder.empty() && !std::filesystem::is_directory(folder))
-    throw std::runtime_error(folder + ": is no folder");
+    throw std::runtime_error(folder + ": not a directory");
   print(c, path, folder);
   return 0;
 }
@@ -88,16 +89,16 @@
   struct Row {
     std::string name;
     json::value value;
-    std::string from;
+    std::string source;
   };
   const std::string file = path;
   const std::string state_from = state.empty() ? "PROXY_STATE" : "--state";
   std::vector<Row> rows = {
       {"name", json::value(c.name), file},
-      {"listen", json::value(text_of(c.listen)), file},
-      {"discovery", json::value(text_of(c.discovery)), file},
+      {"listen", json::value(to_string(c.listen)), file},
+      {"discovery", json::value(to_string(c.discovery)), file},
       {"admin",
-       json::value(c.admin         ? text_of(*c.admin)
+       json::value(c.admin         ? to_string(*c.admin)
                    : admin.empty() ? "none"
                                    : admin),
        c.admin         ? file
@@ -136,14 +137,14 @@
   }
   if (as_json) {
     json::object all;
-    for (const Row& r : rows) all[r.name] = {{"value", r.value}, {"from", r.from}};
+    for (const Row& r : rows) all[r.name] = {{"value", r.value}, {"from", r.source}};
     std::cout << json::serialize(all) << '\n';
     return;
   }
   for (const Row& r : rows) {
     const std::string value =
         r.value.is_string() ? std::string(r.value.as_string()) : json::serialize(r.value);
-    std::printf("%-20s %-28s %s\n", r.name.c_str(), value.c_str(), r.from.c_str());
+    std::printf("%-20s %-28s %s\n", r.name.c_str(), value.c_str(), r.source.c_str());
   }
 }
 
--- a/relay/command_check.h
+++ b/relay/command_check.h
@@ -1,4 +1,4 @@
-// `myrtlegrade check`: reads a configuration as a relay would, and says what follows from it.
+// `myrtlegrade check`: reads a configuration as a relay would, and prints the resulting settings.
 #pragma once
 
 #include <string>
@@ -11,8 +11,8 @@
   std::string config, state;  // file and folder; empty: from the environment
   bool as_json = false;
 
-  // Prints each setting with its source, and returns the exit status. Throws std::runtime_error that names
-  // file, line and column where the configuration can't be used.
+  // Prints each setting with its source, and returns the exit status. If the configuration is invalid, throws
+  // std::runtime_error that names file, line and column.
   int run() const;
 
  private:
--- a/relay/command_journal.cpp
+++ b/relay/command_journal.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Bodies and keys are the clients' own: they are counted, never shown.
-json::object of(const StoredMessage& m) {
+// Bodies and keys are private to the clients: only the size of a body is shown.
+json::object to_json(const StoredMessage& m) {
   json::array attempts;
   for (const StoredAttempt& a : m.attempts) {
     attempts.push_back({{"host", a.host},
@@ -30,31 +30,31 @@
           {"attempts", std::move(attempts)}};
 }
 
-json::object of(const JournalView& v) {
+json::object to_json(const JournalView& v) {
   json::object o{{"bytes", v.bytes},
                  {"format", v.format},
                  {"messages", v.messages.size()},
                  {"notices", v.notices.size()},
-                 {"banned", json::array(v.banned.begin(), v.banned.end())}};
+                 {"banned", json::array(v.disabled_hosts.begin(), v.disabled_hosts.end())}};
   json::object records;
   for (const auto& [kind, count] : v.records) records[kind] = count;
   o["records"] = std::move(records);
   if (v.damage) {
-    o["damage"] = {{"at", v.damage->at},
-                   {"bytes", v.damage->behind},
+    o["damage"] = {{"at", v.damage->offset},
+                   {"bytes", v.damage->unread_bytes},
                    {"torn", v.damage->torn},
                    {"what", v.damage->what}};
   }
   return o;
 }
 
-int status(const JournalView& v) { return v.damage ? kAnswerIsNo : 0; }
+int exit_status(const JournalView& v) { return v.damage ? kNegativeResult : 0; }
 
-void tell_damage(const JournalView& v) {
+void print_damage(const JournalView& v) {
   if (!v.damage) return;
   std::printf("byte %llu: %s; %llu bytes from there on are not read%s\n",
-              static_cast<unsigned long long>(v.damage->at), v.damage->what.c_str(),
-              static_cast<unsigned long long>(v.damage->behind),
+              static_cast<unsigned long long>(v.damage->offset), v.damage->what.c_str(),
+              static_cast<unsigned long long>(v.damage->unread_bytes),
               v.damage->torn ? " (a start cuts them off; a living relay may be writing them)" : "");
 }
 
@@ -64,7 +64,7 @@
   const JournalView v = view_journal(folder);
   for (const StoredMessage& m : v.messages) {
     if (as_json) {
-      std::cout << json::serialize(of(m)) << '\n';
+      std::cout << json::serialize(to_json(m)) << '\n';
       continue;
     }
     std::printf("%s class %s dest %llu, %zu bytes, %zu attempts\n",
@@ -75,37 +75,37 @@
                   a.may_have_run ? "may have run" : "never ran");
     }
   }
-  if (!as_json) tell_damage(v);
-  return status(v);
+  if (!as_json) print_damage(v);
+  return exit_status(v);
 }
 
 int JournalCommand::verify() const {
   const JournalView v = view_journal(folder);
   if (as_json) {
-    std::cout << json::serialize(of(v)) << '\n';
+    std::cout << json::serialize(to_json(v)) << '\n';
   } else if (v.damage) {
-    tell_damage(v);
+    print_damage(v);
   } else {
     std::printf("whole: %llu bytes, format %llu\n", static_cast<unsigned long long>(v.bytes),
                 static_cast<unsigned long long>(v.format));
   }
-  return status(v);
+  return exit_status(v);
 }
 
 int JournalCommand::stats() const {
   const JournalView v = view_journal(folder);
   if (as_json) {
-    std::cout << json::serialize(of(v)) << '\n';
-    return status(v);
+    std::cout << json::serialize(to_json(v)) << '\n';
+    return exit_status(v);
   }
   std::printf("%llu bytes, format %llu; %zu messages owed, %zu notices, %zu endpoints out by hand\n",
               static_cast<unsigned long long>(v.bytes), static_cast<unsigned long long>(v.format),
-              v.messages.size(), v.notices.size(), v.banned.size());
+              v.messages.size(), v.notices.size(), v.disabled_hosts.size());
   for (const auto& [kind, count] : v.records) {
     std::printf("  %-15s %llu\n", kind.c_str(), static_cast<unsigned long long>(count));
   }
-  tell_damage(v);
-  return status(v);
+  print_damage(v);
+  return exit_status(v);
 }
 
 }  // namespace myrtlegrade
--- a/relay/command_journal.h
+++ b/relay/command_journal.h
@@ -1,4 +1,4 @@
-// `myrtlegrade journal`: looks at what a relay has taken on. It only reads, beside a living relay too.
+// `myrtlegrade journal`: inspects the journal of a relay. It only reads, and may run beside a running relay.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
   std::string folder;
   bool as_json = false;
 
-  // Each prints, and returns the exit status: that of a no where the journal is damaged.
+  // Each prints, and returns the exit status: kNegativeResult if the journal is damaged.
   int show() const;
   int verify() const;
   int stats() const;
--- a/relay/command_status.cpp
+++ b/relay/command_status.cpp
@@ -13,7 +13,7 @@
   return value ? value : "";
 }
 
-std::string text_of(const Endpoint& address) {
+std::string to_string(const Endpoint& address) {
   std::ostringstream text;
   text << address;
   return text.str();
--- a/relay/command_status.h
+++ b/relay/command_status.h
@@ -1,4 +1,4 @@
-// What the commands of the relay's program share: their exit status, and where their input comes from.
+// Exit status and input helpers shared by the commands of the relay program.
 #pragma once
 
 #include <optional>
@@ -8,19 +8,19 @@
 
 namespace myrtlegrade {
 
-// Exit status beside 0 (done) and 2 (bad usage or configuration).
+// Exit status other than 0 (success) and 2 (bad usage or configuration).
 enum CommandStatus : int {
-  kAnswerIsNo = 1,
-  kNobodyAnswers = 3,
+  kNegativeResult = 1,  // the relay refused, or the check failed
+  kNoResponse = 3,
 };
 
-// Empty where the variable is not set.
+// Returns the value of the variable, or an empty string if it is not set.
 std::string from_environment(const char* name);
 
-// The whole file. Throws std::runtime_error if it can't be read.
+// Reads the whole file. Throws std::runtime_error if it can't be read.
 std::string read_file(const std::string& path);
 
-// As 127.0.0.1:7171.
-std::string text_of(const Endpoint& address);
+// Formats the address, such as 127.0.0.1:7171.
+std::string to_string(const Endpoint& address);
 
 }  // namespace myrtlegrade
--- a/relay/command_view.h
+++ b/relay/command_view.h
@@ -1,4 +1,5 @@
-// `myrtlegrade fleet` and `copies`: what one relay says of the others, or where several differ.
+// `myrtlegrade fleet` and `copies`: print how one relay sees the fleet or its copies, or where the fleet
+// views of several relays differ.
 #pragma once
 
 #include <string>
@@ -9,12 +10,13 @@
 namespace myrtlegrade {
 
 struct ViewCommand : AdminCommand {
-  std::vector<std::string> others;  // second addresses whose views are held side by side
+  std::vector<std::string> others;  // admin addresses of relays whose views are compared
 
   // Prints the view, and returns the exit status.
   int run() const;
 
  private:
+  // Prints the members on which the compared views differ.
   int diff() const;
 };
 
--- a/relay/commands.cpp
+++ b/relay/commands.cpp
@@ -14,17 +14,17 @@
 namespace myrtlegrade {
 namespace {
 
-void add_call(CLI::App& app, int& status, const char* name, const char* verb, const char* what,
-              bool with_id) {
+void add_admin_command(CLI::App& app, int& status, const char* name, const char* verb, const char* what,
+                       bool with_id) {
   CLI::App* sub = app.add_subcommand(name, what);
-  const auto call = std::make_shared<AdminCommand>();
-  call->verb = verb;
-  if (with_id) sub->add_option("ID", call->id, "The endpoint's id, as discovery has it")->required();
-  sub->add_option("--admin", call->admin,
+  const auto command = std::make_shared<AdminCommand>();
+  command->verb = verb;
+  if (with_id) sub->add_option("ID", command->id, "The endpoint's id, as discovery has it")->required();
+  sub->add_option("--admin", command->admin,
                   "Second address, as 127.0.0.1:7171; else PROXY_ADMIN_ADDR, else the configuration's");
-  sub->add_option("--config", call->config, "Configuration that names it; else PROXY_CONFIG");
-  sub->add_flag("--json", call->as_json, "Print one JSON object");
-  sub->callback([call, &status] { status = call->run(); });
+  sub->add_option("--config", command->config, "Configuration that names it; else PROXY_CONFIG");
+  sub->add_flag("--json", command->as_json, "Print one JSON object");
+  sub->callback([command, &status] { status = command->run(); });
 }
 
 }  // namespace
@@ -38,35 +38,35 @@
       "Exit status: 0 done, 1 the answer is no, 2 bad usage or configuration, 3 nobody answers.");
   int status = 0;
 
-  const auto check = std::make_shared<CheckCommand>();
+  const auto check_command = std::make_shared<CheckCommand>();
   bool check_only = false;
   CLI::App* run = app.add_subcommand("run", "Be a relay until SIGTERM");
-  run->add_option("--config", check->config, "Configuration (JSON); else PROXY_CONFIG");
-  run->add_option("--state", check->state, "Folder that lasts; else PROXY_STATE");
+  run->add_option("--config", check_command->config, "Configuration (JSON); else PROXY_CONFIG");
+  run->add_option("--state", check_command->state, "Folder that lasts; else PROXY_STATE");
   run->add_flag("--check", check_only, "Check the configuration, and exit");
-  run->callback([&, check] {
+  run->callback([&, check_command] {
     if (check_only) {
-      status = check->run();
+      status = check_command->run();
       return;
     }
-    if (!check->config.empty()) ::setenv("PROXY_CONFIG", check->config.c_str(), 1);
-    if (!check->state.empty()) ::setenv("PROXY_STATE", check->state.c_str(), 1);
+    if (!check_command->config.empty()) ::setenv("PROXY_CONFIG", check_command->config.c_str(), 1);
+    if (!check_command->state.empty()) ::setenv("PROXY_STATE", check_command->state.c_str(), 1);
     status = serve();
   });
 
-  const auto look_at = std::make_shared<CheckCommand>();
-  CLI::App* check_app =
+  const auto inspect = std::make_shared<CheckCommand>();
+  CLI::App* check_sub =
       app.add_subcommand("check", "Read the configuration, and print what follows from it and from where");
-  check_app->add_option("--config", look_at->config, "Configuration (JSON); else PROXY_CONFIG");
-  check_app->add_option("--state", look_at->state, "Folder that lasts; else PROXY_STATE");
-  check_app->add_flag("--json", look_at->as_json, "Print one JSON object");
-  check_app->callback([look_at, &status] { status = look_at->run(); });
+  check_sub->add_option("--config", inspect->config, "Configuration (JSON); else PROXY_CONFIG");
+  check_sub->add_option("--state", inspect->state, "Folder that lasts; else PROXY_STATE");
+  check_sub->add_flag("--json", inspect->as_json, "Print one JSON object");
+  check_sub->callback([inspect, &status] { status = inspect->run(); });
 
-  add_call(app, status, "status", "HEALTH", "Ask whether the relay can serve", false);
-  add_call(app, status, "offline", "OFFLINE", "Take an endpoint out, whatever the list says", true);
-  add_call(app, status, "online", "ONLINE", "Put an endpoint back", true);
-  add_call(app, status, "leave", "LEAVE", "Empty the relay of clients", false);
-  add_call(app, status, "join", "JOIN", "Take clients again", false);
+  add_admin_command(app, status, "status", "HEALTH", "Ask whether the relay can serve", false);
+  add_admin_command(app, status, "offline", "OFFLINE", "Take an endpoint out, whatever the list says", true);
+  add_admin_command(app, status, "online", "ONLINE", "Put an endpoint back", true);
+  add_admin_command(app, status, "leave", "LEAVE", "Empty the relay of clients", false);
+  add_admin_command(app, status, "join", "JOIN", "Take clients again", false);
 
   CLI::App* fleet =
       app.add_subcommand("fleet", "Show the fleet as one relay sees it, or where several differ");
@@ -92,16 +92,17 @@
   CLI::App* journal = app.add_subcommand(
       "journal", "Look at what a relay has taken on; only reads, beside a living relay too");
   journal->require_subcommand(1);
-  const auto look = std::make_shared<JournalCommand>();
-  const auto add_look = [&](const char* name, const char* what, int (JournalCommand::*then)() const) {
+  const auto journal_command = std::make_shared<JournalCommand>();
+  const auto add_journal_command = [&](const char* name, const char* what,
+                                       int (JournalCommand::*action)() const) {
     CLI::App* sub = journal->add_subcommand(name, what);
-    sub->add_option("FOLDER", look->folder, "The folder that lasts (PROXY_STATE)")->required();
-    sub->add_flag("--json", look->as_json, "Print JSON");
-    sub->callback([look, then, &status] { status = (look.get()->*then)(); });
+    sub->add_option("FOLDER", journal_command->folder, "The folder that lasts (PROXY_STATE)")->required();
+    sub->add_flag("--json", journal_command->as_json, "Print JSON");
+    sub->callback([journal_command, action, &status] { status = (journal_command.get()->*action)(); });
   };
-  add_look("show", "List the messages that are owed, without their bodies", &JournalCommand::show);
-  add_look("verify", "Say whether it is whole, and where it is not", &JournalCommand::verify);
-  add_look("stats", "Count what it holds", &JournalCommand::stats);
+  add_journal_command("show", "List the messages that are owed, without their bodies", &JournalCommand::show);
+  add_journal_command("verify", "Say whether it is whole, and where it is not", &JournalCommand::verify);
+  add_journal_command("stats", "Count what it holds", &JournalCommand::stats);
 
   app.add_subcommand("version", "Print the version")->callback([] {
     std::printf("myrtlegrade %s\n", VALEDRUM_VERSION);
--- a/relay/commands.h
+++ b/relay/commands.h
@@ -1,13 +1,13 @@
-// The command line of the relay: what it does besides being one.
+// The command line of the relay program.
 #pragma once
 
 #include <functional>
 
 namespace myrtlegrade {
 
-// `serve` is the relay itself, with its configuration and folder in the environment; it returns the status to
-// exit with. Status: 0 done, 1 the answer is no (a NAK, a journal that is damaged), 2 bad usage or
-// configuration, 3 nobody answers.
+// Runs the command that `argv` names, and returns the exit status: 0 success, 1 a negative result (a NAK, or
+// a damaged journal), 2 bad usage or configuration, 3 no response. `serve` runs the relay itself, with its
+// configuration and state folder named by the environment, and returns its exit status.
 int run_commands(int argc, const char* const* argv, const std::function<int()>& serve);
 
 }  // namespace myrtlegrade
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -20,26 +20,27 @@
   throw std::invalid_argument("config: " + field + ": " + what);
 }
 
-const json::value& member(const json::object& object, const std::string& path, std::string_view name) {
+const json::value& required_field(const json::object& object, const std::string& path,
+                                  std::string_view name) {
   const json::value* found = object.if_contains(name);
   if (!found) reject(path + std::string(name), "missing");
   return *found;
 }
 
-std::string text(const json::object& object, std::string_view name) {
-  const json::value& value = member(object, "", name);
-  if (!value.is_string()) reject(std::string(name), "not a text");
+std::string required_string(const json::object& object, std::string_view name) {
+  const json::value& value = required_field(object, "", name);
+  if (!value.is_string()) reject(std::string(name), "not a string");
   return std::string(value.as_string());
 }
 
-const json::object& object_at(const json::object& object, std::string_view name) {
-  const json::value& value = member(object, "", name);
+const json::object& required_object(const json::object& object, std::string_view name) {
+  const json::value& value = required_field(object, "", name);
   if (!value.is_object()) reject(std::string(name), "not an object");
   return value.as_object();
 }
 
-double limit(const json::object& limits, std::string_view name) {
-  const json::value& value = member(limits, "limits.", name);
+double required_limit(const json::object& limits, std::string_view name) {
+  const json::value& value = required_field(limits, "limits.", name);
   if (!value.is_number() || value.to_number<double>() <= 0) {
     reject("limits." + std::string(name), "not a number above 0");
   }
@@ -55,7 +56,7 @@
   return plain;
 }
 
-// The settings as the wire's `path=value` pairs, so that one reader serves both forms.
+// Writes the settings as the `path=value` pairs of the wire format, so that one parser serves both forms.
 void flatten(const json::value& value, const std::string& path, std::ostream& line) {
   if (const json::object* object = value.if_object()) {
     for (const auto& [name, inner] : *object) {
@@ -83,81 +84,85 @@
   return seed;
 }
 
-std::string environment(const char* name) {
+std::string required_environment(const char* name) {
   const char* value = std::getenv(name);
   if (!value || !*value) throw std::invalid_argument(std::string(name) + ": not set");
   return value;
 }
 
-// What the system lets this process hold. Shares of more would leave clients all that there is, and none to
-// discovery, hosts and files.
-std::size_t own_descriptors() {
-  rlimit most{};
-  if (::getrlimit(RLIMIT_NOFILE, &most) != 0 || most.rlim_cur == RLIM_INFINITY) return kNoLimit;
-  return static_cast<std::size_t>(most.rlim_cur);
+// Returns the limit of this process on open descriptors. Shares of a larger number would let clients take all
+// descriptors and leave none for discovery, hosts and files.
+std::size_t process_descriptor_limit() {
+  rlimit descriptors{};
+  if (::getrlimit(RLIMIT_NOFILE, &descriptors) != 0 || descriptors.rlim_cur == RLIM_INFINITY)
+    return kNoDescriptorLimit;
+  return static_cast<std::size_t>(descriptors.rlim_cur);
 }
 
-// Destinations of which the module keeps what it learns. The days that are played have some thirty: all of
-// them, as before. At 7,400 relays and 1.3 million events a second a relay meets some 176 destinations a
-// second, so that it keeps those of the last 20 s or more; a kilobyte and a half each, some 6 MB (ours).
-constexpr std::uint32_t kMostDestinations = 4'096;
+// Destinations whose learned state the decision module keeps. Simulated days have about 30, all of which fit.
+// At 7,400 relays and 1.3 million events per second a relay meets about 176 destinations per second, so the
+// limit covers at least the last 20 s. Each takes about 1.5 kB, about 6 MB in total.
+constexpr std::uint32_t kMaxTrackedDestinations = 4'096;
 
-constexpr std::size_t kReadSize = 64 << 10;
+constexpr std::size_t kReadChunkBytes = 64 << 10;
 
 Config parse(ConfigReader& source, const std::string& state_folder, std::size_t descriptors) {
   boost::system::error_code error;
-  const json::value parsed = json::parse(source.rest(), error);
+  const json::value parsed = json::parse(source.json_without_hosts(), error);
   if (error) throw std::invalid_argument("config: not JSON: " + error.message());
   if (!parsed.is_object()) throw std::invalid_argument("config: not an object");
   const json::object& root = parsed.as_object();
 
   Config config;
-  config.name = text(root, "name");
-  config.listen = parse_endpoint(text(root, "listen"), "config: listen");
-  config.discovery = parse_endpoint(text(root, "discovery"), "config: discovery");
+  config.name = required_string(root, "name");
+  config.listen = parse_endpoint(required_string(root, "listen"), "config: listen");
+  config.discovery = parse_endpoint(required_string(root, "discovery"), "config: discovery");
   if (root.contains("admin_addr"))
-    config.admin = parse_endpoint(text(root, "admin_addr"), "config: admin_addr");
+    config.admin = parse_endpoint(required_string(root, "admin_addr"), "config: admin_addr");
   config.state_folder = state_folder;
-  const json::object& limits = object_at(root, "limits");
-  config.descriptor_limit = std::min(static_cast<std::size_t>(limit(limits, "sockets")), descriptors);
-  config.journal_disk_bytes = static_cast<std::uint64_t>(limit(limits, "disk_mb") * 1e6);
+  const json::object& limits = required_object(root, "limits");
+  config.descriptor_limit =
+      std::min(static_cast<std::size_t>(required_limit(limits, "sockets")), descriptors);
+  config.journal_disk_bytes = static_cast<std::uint64_t>(required_limit(limits, "disk_mb") * 1e6);
 
   std::ostringstream line;
-  config.seed = parse_seed(text(root, "seed"));
+  config.seed = parse_seed(required_string(root, "seed"));
   line << "config: entropy=" << config.seed;
-  flatten(member(root, "", "settings"), "", line);
+  flatten(required_field(root, "", "settings"), "", line);
   const std::string pairs = line.str();
   const vetchhinge::drill::Line settings(pairs);
   config.settings = vetchhinge::drill::read_settings(settings, config.dialect);
-  config.settings.max_destinations = kMostDestinations;
+  config.settings.max_destinations = kMaxTrackedDestinations;
   config.connect_timeout = settings.span("allowed.connectTimeout");
 
   if (const json::value* known = root.if_contains("known"); known && known->is_object()) {
-    reject("known", "its name may not be written with escapes");
+    reject("known", "the field name must not contain JSON escapes");
   }
   config.known_hosts = std::make_shared<WholeList>(source.take_known_hosts());
 
   if (const json::value* fleet = root.if_contains("fleet")) {
     if (!fleet->is_object()) reject("fleet", "not an object");
-    const json::value* zone = object_at(root, "settings").if_contains("zone");
+    const json::value* zone = required_object(root, "settings").if_contains("zone");
     config.fleet = parse_fleet(fleet->as_object(), zone ? scalar(*zone) : "");
-    if (config.descriptor_limit <= kFleetDescriptors) reject("limits.sockets", "too few for a fleet");
+    if (config.descriptor_limit <= kFleetDescriptors)
+      reject("limits.sockets", "too few for the descriptors that a fleet needs");
     config.descriptor_limit -= kFleetDescriptors;
   }
   if (root.contains("durability")) {
-    const std::string durability = text(root, "durability");
+    const std::string durability = required_string(root, "durability");
     if (durability != "process" && durability != "power") reject("durability", "must be process or power");
     if (durability == "power") config.durability = valedrum::recovery::Durability::power;
   }
   if (const json::value* copies = root.if_contains("copies")) {
     if (!copies->is_object()) reject("copies", "not an object");
-    if (!config.fleet) reject("copies", "needs a fleet");
+    if (!config.fleet) reject("copies", "requires `fleet`");
     config.copies = parse_copies(copies->as_object(), config.journal_disk_bytes);
     config.copies_disk_bytes =
-        static_cast<std::uint64_t>(static_cast<double>(config.journal_disk_bytes) * kCopiesDisk);
+        static_cast<std::uint64_t>(static_cast<double>(config.journal_disk_bytes) * kCopiesDiskShare);
     config.journal_disk_bytes -= config.copies_disk_bytes;
     const std::size_t needed = copies_descriptors(*config.copies);
-    if (config.descriptor_limit <= 2 * needed) reject("limits.sockets", "too few for copies");
+    if (config.descriptor_limit <= 2 * needed)
+      reject("limits.sockets", "too few for the descriptors that copies need");
     config.descriptor_limit -= needed;
   }
   return config;
@@ -166,24 +171,24 @@
 }  // namespace
 
 Config parse_config(const std::string& source, const std::string& state_folder, std::size_t descriptors) {
-  ConfigReader text(ConfigReader::KnownHosts::read);
-  text.feed(source);
-  return parse(text, state_folder, descriptors);
+  ConfigReader reader(ConfigReader::KnownHosts::read);
+  reader.feed(source);
+  return parse(reader, state_folder, descriptors);
 }
 
-Config load_config(ConfigReader::KnownHosts known) {
-  const std::string path = environment("PROXY_CONFIG");
-  const std::string state_folder = environment("PROXY_STATE");
+Config load_config(ConfigReader::KnownHosts known_hosts) {
+  const std::string path = required_environment("PROXY_CONFIG");
+  const std::string state_folder = required_environment("PROXY_STATE");
   const auto read_at = std::chrono::steady_clock::now();
   std::ifstream file(path, std::ios::binary);
-  ConfigReader source(known);
-  std::vector<char> piece(kReadSize);
+  ConfigReader source(known_hosts);
+  std::vector<char> chunk(kReadChunkBytes);
   do {
-    file.read(piece.data(), static_cast<std::streamsize>(piece.size()));
-    source.feed({piece.data(), static_cast<std::size_t>(file.gcount())});
+    file.read(chunk.data(), static_cast<std::streamsize>(chunk.size()));
+    source.feed({chunk.data(), static_cast<std::size_t>(file.gcount())});
   } while (file);
   if (!file.eof()) throw std::invalid_argument("PROXY_CONFIG: cannot read " + path);
-  Config config = parse(source, state_folder, own_descriptors());
+  Config config = parse(source, state_folder, process_descriptor_limit());
   const char* admin = std::getenv("PROXY_ADMIN_ADDR");
   config.read_at = read_at;
   if (!config.admin && admin && *admin) config.admin = parse_endpoint(admin, "PROXY_ADMIN_ADDR");
--- a/relay/config.h
+++ b/relay/config.h
@@ -1,4 +1,4 @@
-// What a relay is told at its start.
+// Configuration of a relay: its settings at start, and the functions that read them.
 #pragma once
 
 #include <chrono>
@@ -23,32 +23,32 @@
   std::string name;
   Endpoint listen;
   Endpoint discovery;
-  std::optional<Endpoint> admin;        // the second address, where there is one
-  std::optional<FleetConfig> fleet;     // off where there is none
-  std::optional<CopiesConfig> copies;   // likewise
-  std::uint64_t copies_disk_bytes = 0;  // bytes that they may take; `disk_bytes` is what the journal may
-  std::uint64_t seed = 0;               // new with each start
+  std::optional<Endpoint> admin;        // address of the admin server; none: no admin server
+  std::optional<FleetConfig> fleet;     // none: the relay joins no fleet
+  std::optional<CopiesConfig> copies;   // none: accepted messages are not replicated
+  std::uint64_t copies_disk_bytes = 0;  // disk budget of the copies
+  std::uint64_t seed = 0;               // differs with each start
   std::string state_folder;
-  std::size_t descriptor_limit = 0;  // descriptors: the lesser of what it is told and what the system allows
-  std::uint64_t journal_disk_bytes = 0;
+  std::size_t descriptor_limit = 0;      // `limits.sockets`, capped by the limit of the process
+  std::uint64_t journal_disk_bytes = 0;  // disk budget of the journal
   valedrum::recovery::Durability durability = valedrum::recovery::Durability::process;
   vetchhinge::Settings settings;
   vetchhinge::Duration connect_timeout{};
   vetchhinge::drill::Dialect dialect;
   std::chrono::steady_clock::time_point read_at{};  // when the file was opened
-  std::shared_ptr<WholeList>
-      known_hosts;  // the list of hosts as this relay last had it; whoever needs it takes it
+  // The field `known`: the list of hosts that this relay last received. Its consumer moves it out.
+  std::shared_ptr<WholeList> known_hosts;
 };
 
-inline constexpr std::size_t kNoLimit = std::numeric_limits<std::size_t>::max();
+inline constexpr std::size_t kNoDescriptorLimit = std::numeric_limits<std::size_t>::max();
 
-// From the text of the configuration, for a process that may hold so many descriptors. Throws std::exception
-// whose text names the field at fault.
+// Parses the text of a configuration for a process that may open at most `descriptors` descriptors. Throws a
+// std::exception whose text names the invalid field.
 Config parse_config(const std::string& text, const std::string& state_folder,
-                    std::size_t descriptors = kNoLimit);
+                    std::size_t descriptors = kNoDescriptorLimit);
 
-// From the file that PROXY_CONFIG names, with PROXY_STATE for the folder. Where it is read again there is a
-// list by then: `known` may be passed over.
-Config load_config(ConfigReader::KnownHosts known = ConfigReader::KnownHosts::read);
+// Loads the file that PROXY_CONFIG names, with PROXY_STATE as the state folder. A reload may skip the list of
+// hosts, because the relay has received a newer one since its start.
+Config load_config(ConfigReader::KnownHosts known_hosts = ConfigReader::KnownHosts::read);
 
 }  // namespace myrtlegrade
--- a/relay/config_reader.h
+++ b/relay/config_reader.h
@@ -1,5 +1,6 @@
-// The text of a configuration as it comes, in pieces: `known` may be a list of a quarter of a gigabyte, of
-// which no tree is to be built. It goes to the list's own reader; all else is kept as text.
+// Streaming reader of a configuration's text. The field `known` may hold a list of hosts of 250 MB, for which
+// no JSON tree is built: its bytes are passed to the reader of lists, and all other text is kept for the JSON
+// parser.
 #pragma once
 
 #include <cstddef>
@@ -13,29 +14,31 @@
 
 class ConfigReader {
  public:
+  // Whether the list of hosts in `known` is read or skipped.
   enum class KnownHosts { read, skip };
-  explicit ConfigReader(KnownHosts known_hosts) : read_known_(known_hosts == KnownHosts::read) {}
+  explicit ConfigReader(KnownHosts known_hosts) : read_list_(known_hosts == KnownHosts::read) {}
 
-  // Throws std::invalid_argument where the list can't be read.
+  // Reads the next chunk of the text. Throws std::invalid_argument if the list of hosts is malformed.
   void feed(std::string_view bytes);
 
-  // Once all has come: the text with null in place of the list. Of a list that is cut the rest is no JSON.
-  const std::string& rest() const { return rest_; }
-  WholeList take_known_hosts() { return std::move(known_); }
+  // Returns the text with null in place of the list, once all chunks are read. If the list was truncated, the
+  // result is not valid JSON.
+  const std::string& json_without_hosts() const { return json_; }
+  WholeList take_known_hosts() { return std::move(known_hosts_); }
 
  private:
   void scan(char c);
 
-  bool read_known_;
+  bool read_list_;
   valedrum::catalog::ListReader reader_;
-  WholeList known_;
-  std::string rest_;
-  std::string key_;  // the last text at the top, or its beginning
+  WholeList known_hosts_;
+  std::string json_;
+  std::string key_;  // the last string at the top level, or its first bytes
   std::size_t depth_ = 0;
-  bool in_text_ = false, escaped_ = false;
-  bool at_known_ = false;  // the value of `known` comes next
-  bool reading_ = false;   // it goes to the reader
-  bool passing_over_ = false;
+  bool in_string_ = false, escaped_ = false;
+  bool at_known_ = false;       // the next value is that of `known`
+  bool reading_list_ = false;   // within the list, which reader_ parses
+  bool skipping_list_ = false;  // within the list, which is discarded
 };
 
 }  // namespace myrtlegrade
--- a/relay/copies_config.cpp
+++ b/relay/copies_config.cpp
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using Field = fields::Field<CopiesConfig>;
 
-constexpr std::size_t kLeastDisk = 256 << 10;
+constexpr std::size_t kMinDiskBytes = 256 << 10;
 
 Field span_of(copies::Duration copies::CopiesSettings::*where) {
   return [where](CopiesConfig& c, const json::value& v, std::string_view f) {
@@ -32,9 +32,9 @@
   };
 }
 
-// One of two words.
+// A field with one of two values; `set` receives whether it is the second.
 template <typename Set>
-Field word_of(std::string_view first, std::string_view second, Set set) {
+Field choice_of(std::string_view first, std::string_view second, Set set) {
   return [=](CopiesConfig& c, const json::value& v, std::string_view f) {
     const std::string word = fields::text(v, f);
     if (word != first && word != second)
@@ -52,13 +52,14 @@
       {"spread", number_of(&S::group_count)},
       {"lease_ms", span_of(&S::lease)},
       {"answer_ms", span_of(&S::answer_timeout)},
-      {"zones", word_of("any", "other", [](CopiesConfig& c, bool other) { c.settings.other_zone = other; })},
-      {"on_shortage", word_of("refuse", "accept",
-                              [](CopiesConfig& c, bool accept) {
-                                c.settings.on_shortage =
-                                    accept ? copies::ShortagePolicy::accept : copies::ShortagePolicy::refuse;
-                              })},
-#ifdef VALEDRUM_BREAKABLE  // a build of the tests alone: they have to see that what is broken is noticed
+      {"zones",
+       choice_of("any", "other", [](CopiesConfig& c, bool other) { c.settings.other_zone = other; })},
+      {"on_shortage", choice_of("refuse", "accept",
+                                [](CopiesConfig& c, bool accept) {
+                                  c.settings.on_shortage = accept ? copies::ShortagePolicy::accept
+                                                                  : copies::ShortagePolicy::refuse;
+                                })},
+#ifdef VALEDRUM_BREAKABLE  // test builds only: tests disable a safeguard and check that the fault is detected
       {"without",
        [](CopiesConfig& c, const json::value& v, std::string_view f) {
          const auto* named =
@@ -84,10 +85,10 @@
   if (!c.advertise) c.advertise = c.bind;
   c.settings.lease_margin = c.settings.renewal_interval = c.settings.lease / 4;
   c.settings.vote_retry_interval = c.settings.lease / 16;
-  // The file and its successor stand side by side while it is written anew, at six tenths of the room: what
-  // matters has to fit into three, bodies of others, own ones, and what is said of them.
-  const auto disk = static_cast<std::size_t>(static_cast<double>(disk_bytes) * kCopiesDisk);
-  if (disk < kLeastDisk) fields::reject("limits.disk_mb", "too little for copies");
+  // During a rewrite, which starts at 6/10 of the disk budget, the old and the new file exist side by side.
+  // The live data (bodies held for others, own bodies, and their metadata) therefore has to fit into 3/10.
+  const auto disk = static_cast<std::size_t>(static_cast<double>(disk_bytes) * kCopiesDiskShare);
+  if (disk < kMinDiskBytes) fields::reject("limits.disk_mb", "too small for copies");
   c.settings.body_budget = disk / 8;
   try {
     copies::validate(c.settings);
--- a/relay/copies_config.h
+++ b/relay/copies_config.h
@@ -1,4 +1,4 @@
-// What the configuration's `copies` object says.
+// The `copies` object of the configuration: replication of accepted messages to other relays.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -10,18 +10,19 @@
 
 struct CopiesConfig {
   valedrum::copies::CopiesSettings settings;
-  valedrum::membership::Address bind;       // streams
-  valedrum::membership::Address advertise;  // where others reach it
+  valedrum::membership::Address bind;       // where this relay accepts streams
+  valedrum::membership::Address advertise;  // where other relays reach it
 };
 
-// Descriptors that a relay with copies keeps for them: connections to its holders and to those that it holds
-// for, each way, a socket that listens, and its file twice while it is written anew.
+// Returns the number of descriptors reserved for copies: connections in each direction to the relays that
+// hold its copies and to those whose copies it holds, a listening socket, and two files during a rewrite.
 std::size_t copies_descriptors(const CopiesConfig& config);
 
-// Part of the disk that copies may take; the journal has the rest.
-inline constexpr double kCopiesDisk = 0.5;
+// Share of the disk budget for copies; the journal takes the rest.
+inline constexpr double kCopiesDiskShare = 0.5;
 
-// Throws std::invalid_argument that names the field.
+// Reads the object. `disk_bytes` is the whole disk budget of the relay. Throws std::invalid_argument that
+// names the invalid field.
 CopiesConfig parse_copies(const boost::json::object& copies, std::uint64_t disk_bytes);
 
 }  // namespace myrtlegrade
--- a/relay/counters.h
+++ b/relay/counters.h
@@ -1,4 +1,6 @@
-// What a relay has done since its start, for its log: one line every so often, and only if something changed.
+// Counters of a relay since its start. They are logged periodically, if one has changed. The log line uses
+// other names for some: accepted is `taken`, rejected_without_room `turned_away`, rejected_by_policy
+// `refused`, retries `repeats`, list_updates `lists`, and watch_failures `lists_lost`.
 #pragma once
 
 #include <array>
@@ -14,20 +16,21 @@
   static constexpr std::size_t kResults = 8;
 
   std::uint64_t accepted = 0;               // messages
-  std::uint64_t rejected_without_room = 0;  // by the relay itself, for want of room
-  std::uint64_t rejected_by_policy = 0;     // by the module
+  std::uint64_t rejected_without_room = 0;  // by the relay itself, because it has no room
+  std::uint64_t rejected_by_policy = 0;     // by the decision module
   std::uint64_t delivered = 0;
   std::uint64_t given_up = 0;
-  std::uint64_t retries = 0;                       // attempts after a message's first
+  std::uint64_t retries = 0;                       // attempts after the first of a message
   std::array<std::uint64_t, kResults> outcomes{};  // of attempts, by result
-  std::uint64_t list_updates = 0;                  // whole lists and changes taken
-  std::uint64_t watch_failures = 0;                // watches that failed or broke
-  std::uint64_t violations = 0;  // calls that the relay's own check stopped: 0, or the program has a fault
+  std::uint64_t list_updates = 0;                  // whole lists and changes received
+  std::uint64_t watch_failures = 0;                // failed or broken watches
+  std::uint64_t violations = 0;  // calls stopped by the relay's self-check; above 0 only through a bug
 
   void count_outcome(vetchhinge::Result result) { ++outcomes[static_cast<std::size_t>(result)]; }
   bool operator==(const Counters&) const = default;
 };
 
+// Returns the name of the result in log lines.
 std::string_view name_of(vetchhinge::Result result);
 
 std::ostream& operator<<(std::ostream& out, const Counters& c);
--- a/relay/event_log.cpp
+++ b/relay/event_log.cpp
@@ -11,19 +11,19 @@
   const Clock::time_point now = Clock::now();
   const double passed = std::chrono::duration<double>(now - refilled_).count();
   refilled_ = now;
-  budget_ = std::min(kBurst, budget_ + passed * kLinesPerSecond);
-  if (budget_ < 1) {
-    ++left_out_;
+  tokens_ = std::min(kBurst, tokens_ + passed * kLinesPerSecond);
+  if (tokens_ < 1) {
+    ++suppressed_;
     return false;
   }
-  budget_ -= 1;
+  tokens_ -= 1;
   return true;
 }
 
-void EventLog::write(std::string_view what, std::string_view text) {
+void EventLog::write(std::string_view event, std::string_view fields) {
   std::ostringstream line;
-  line << "myrtlegrade: " << subject_ << ": " << what << ' ' << text;
-  if (left_out_ > 0) line << " left_out=" << std::exchange(left_out_, 0);
+  line << "myrtlegrade: " << subject_ << ": " << event << ' ' << fields;
+  if (suppressed_ > 0) line << " left_out=" << std::exchange(suppressed_, 0);
   line << '\n';
   std::cerr << line.str() << std::flush;
 }
--- a/relay/event_log.h
+++ b/relay/event_log.h
@@ -1,5 +1,5 @@
-// Lines of the log about single calls and writes, at normal verbosity and bounded in rate: a relay in trouble
-// must not spend its core on telling so. What was left out is counted and told with the next line.
+// Rate-limited log of single calls and writes: a relay with many faults must not spend its CPU time on
+// logging. Suppressed lines are counted, and the next line reports their number as `left_out`.
 //
 //   myrtlegrade: call: repeat message=9b1f03aa5c7e2d41 attempt=1 endpoint=s-5be2a07c
 //   earlier=0@s-7e609c87:timed_out
@@ -15,22 +15,22 @@
  public:
   using Clock = std::chrono::steady_clock;
 
-  // `subject`: what its lines are about, behind the program's name. A literal.
+  // `subject`: the prefix of the lines after the program's name. Must be a string literal.
   explicit EventLog(std::string_view subject) : subject_(subject) {}
 
-  // True: a line may be written now, and counts.
+  // Takes one line from the rate limit. Returns false, and counts the line as suppressed, if none is left.
   bool allow_line();
-  // One that allow_line() let through; `what` names the event, `text` its fields.
-  void write(std::string_view what, std::string_view text);
+  // Writes a line that allow_line() permitted: the event's name and its fields.
+  void write(std::string_view event, std::string_view fields);
 
  private:
   static constexpr double kLinesPerSecond = 40;
   static constexpr double kBurst = 120;
 
   std::string_view subject_;
-  double budget_ = kBurst;
+  double tokens_ = kBurst;
   Clock::time_point refilled_ = Clock::now();
-  std::uint64_t left_out_ = 0;
+  std::uint64_t suppressed_ = 0;
 };
 
 }  // namespace myrtlegrade
--- a/relay/fleet_config.cpp
+++ b/relay/fleet_config.cpp
@@ -20,7 +20,7 @@
 namespace json = boost::json;
 namespace membership = valedrum::membership;
 
-enum class Written : std::uint8_t { version_1 = 1 };
+enum class FileVersion : std::uint8_t { version_1 = 1 };
 
 using Field = fields::Field<FleetConfig>;
 
@@ -68,7 +68,7 @@
          if (!v.is_array()) fields::reject(f, "not a list");
          for (const json::value& seed : v.as_array()) c.settings.seeds.push_back(fields::address(seed, f));
        }},
-#ifdef VALEDRUM_BREAKABLE  // a build of the tests alone: they have to see that what is broken is noticed
+#ifdef VALEDRUM_BREAKABLE  // test builds only: tests disable a safeguard and check that the fault is detected
       {"without",
        [](FleetConfig& c, const json::value& v, std::string_view f) {
          const auto* named = std::ranges::find(membership::kDisabledSafeguardNames, fields::text(v, f),
@@ -110,18 +110,17 @@
   }
 }
 
-// Why it can't be used; nothing where it can.
 const char* FleetIdentity::read(const std::string& bytes) {
   RecordReader outer(bytes);
   const auto payload = outer.record();
   if (!payload || payload->empty()) return "it is damaged";
   RecordReader in(*payload);
-  if (in.kind<Written>() != Written::version_1)
+  if (in.kind<FileVersion>() != FileVersion::version_1)
     throw std::runtime_error(folder_ + "/fleet is of a later program");
-  const std::string of = in.text(), who = in.text();
+  const std::string fleet = in.text(), name = in.text();
   const std::uint64_t incarnation = in.number();
   if (!in.good || !in.empty() || incarnation > membership::kMaxIncarnation) return "it is damaged";
-  if (of != fleet_ || who != name_) return "it is another member's";
+  if (fleet != fleet_ || name != name_) return "it belongs to another member";
   incarnation_ = incarnation;
   return nullptr;
 }
@@ -129,7 +128,7 @@
 bool FleetIdentity::save(std::uint64_t incarnation) {
   incarnation_ = incarnation;
   const std::string bytes =
-      RecordWriter(Written::version_1).text(fleet_).text(name_).number(incarnation).record();
+      RecordWriter(FileVersion::version_1).text(fleet_).text(name_).number(incarnation).record();
   const std::string path = folder_ + "/fleet", fresh = path + ".new";
   const int file = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (file < 0) return false;
--- a/relay/fleet_config.h
+++ b/relay/fleet_config.h
@@ -1,4 +1,4 @@
-// What the configuration's `fleet` object says, and who this relay was when it ran last.
+// The `fleet` object of the configuration, and the persisted identity of this relay as a fleet member.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -11,30 +11,32 @@
 
 struct FleetConfig {
   valedrum::membership::Settings settings;
-  valedrum::membership::Address bind;       // datagrams and streams, at one port
-  valedrum::membership::Address advertise;  // where others reach it
+  valedrum::membership::Address bind;       // datagrams and streams on the same port
+  valedrum::membership::Address advertise;  // where other members reach it
   std::string machine, zone;
 };
 
-// Descriptors that a relay with a fleet keeps for it: two sockets that listen, streams each way, and a file.
+// Descriptors reserved for the fleet: two listening sockets, streams in each direction, and a file.
 inline constexpr std::size_t kFleetStreams = 8;
 inline constexpr std::size_t kFleetDescriptors = kFleetStreams + 4;
 
-// `zone` is the relay's own, where the object names none. Throws std::invalid_argument that names the field.
+// Reads the object. `zone` is the default for an object that names none. Throws std::invalid_argument that
+// names the invalid field.
 FleetConfig parse_fleet(const boost::json::object& fleet, const std::string& zone);
 
-// The file `fleet` in the folder that lasts: which member of which fleet this is, and its incarnation.
+// The file `fleet` in the state folder: the fleet, the name of this member, and its last incarnation.
 class FleetIdentity {
  public:
-  // Logs a line where what is there can't be used: damaged, or another member's. Throws std::runtime_error
-  // where a later program wrote it: then nothing may be written there.
+  // Reads the file. A file that is damaged or belongs to another member is logged and ignored. Throws
+  // std::runtime_error if a newer version of the program wrote it, because it must not be overwritten then.
   FleetIdentity(const std::string& folder, std::string fleet, std::string name);
 
-  std::uint64_t incarnation() const { return incarnation_; }  // 0: none is known
-  // On disk when it returns true: the file and its name.
+  std::uint64_t incarnation() const { return incarnation_; }  // 0: unknown
+  // Saves the incarnation. Returns true once the file and its directory entry are on disk.
   bool save(std::uint64_t incarnation);
 
  private:
+  // Returns why the file can't be used, or null.
   const char* read(const std::string& bytes);
 
   std::string folder_, fleet_, name_;
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -19,83 +19,83 @@
 
 using Kind = RecordKind;
 
-constexpr std::size_t kGrowth = 1024;              // what the attempts and the end of one message may add
-constexpr std::uint64_t kLeastCompact = 64 << 10;  // smaller files are not worth compacting
-constexpr std::uint64_t kBlock = 512;              // the disk limit counts whole blocks
-constexpr std::uint64_t kEndedShare = 32;          // one part in so many of the room is for ends
+constexpr std::size_t kGrowthBytes = 1024;            // of one message, by its attempts and its completion
+constexpr std::uint64_t kMinCompactBytes = 64 << 10;  // smaller files are not worth compacting
+constexpr std::uint64_t kBlockBytes = 512;            // the disk limit counts whole blocks
+constexpr std::uint64_t kCompletedShare = 32;         // 1/32 of the disk limit is for completed messages
 
-constexpr auto kRetryEvery = std::chrono::milliseconds(50);  // of a folder that fails (ours)
-constexpr auto kStartWithin =
-    std::chrono::milliseconds(4000);  // a folder that fails at a start may recover (ours)
+constexpr auto kRetryInterval = std::chrono::milliseconds(50);   // while the disk fails
+constexpr auto kStartTimeout = std::chrono::milliseconds(4000);  // a failing disk may recover during a start
 
-// Until it succeeds, or a start takes too long.
+// Repeats the operation until it succeeds or the start takes too long.
 template <typename Operation>
-bool try_for_a_while(Operation operation) {
-  const auto until = std::chrono::steady_clock::now() + kStartWithin;
+bool retry_until_timeout(Operation operation) {
+  const auto until = std::chrono::steady_clock::now() + kStartTimeout;
   errno = 0;
   while (!operation()) {
     if (std::chrono::steady_clock::now() >= until) return false;
-    std::this_thread::sleep_for(kRetryEvery);
+    std::this_thread::sleep_for(kRetryInterval);
   }
   return true;
 }
 
-std::uint64_t whole_blocks(std::uint64_t bytes) { return (bytes + kBlock - 1) / kBlock * kBlock; }
+std::uint64_t round_up_to_blocks(std::uint64_t bytes) {
+  return (bytes + kBlockBytes - 1) / kBlockBytes * kBlockBytes;
+}
 
 }  // namespace
 
-Journal::Journal(const std::string& folder, std::uint64_t most_bytes, recovery::Durability durability)
-    : Journal(std::make_unique<recovery::RealDisk>(folder), most_bytes, durability) {}
+Journal::Journal(const std::string& folder, std::uint64_t max_bytes, recovery::Durability durability)
+    : Journal(std::make_unique<recovery::RealDisk>(folder), max_bytes, durability) {}
 
-Journal::Journal(std::unique_ptr<recovery::Disk> own, std::uint64_t most_bytes,
+Journal::Journal(std::unique_ptr<recovery::Disk> owned_disk, std::uint64_t max_bytes,
                  recovery::Durability durability)
-    : Journal(*own, most_bytes, durability) {
-  own_ = std::move(own);
+    : Journal(*owned_disk, max_bytes, durability) {
+  owned_disk_ = std::move(owned_disk);
 }
 
-Journal::Journal(recovery::Disk& disk, std::uint64_t most_bytes, recovery::Durability durability)
-    : disk_(&disk), most_(most_bytes), durability_(durability) {
-  disk_->remove(std::string(kName) + ".new");  // a compaction that was cut short
+Journal::Journal(recovery::Disk& disk, std::uint64_t max_bytes, recovery::Durability durability)
+    : disk_(&disk), max_bytes_(max_bytes), durability_(durability) {
+  disk_->remove(std::string(kName) + ".new");  // left by an interrupted compaction
   const std::optional<std::string> text = disk_->read(kName);
   if (text) read(*text);
-  // Also behind what an earlier program wrote: it must not cut off the records that it does not know.
+  // Also appended to the file of an older version, which must not truncate records that it can't parse.
   if (format_ < kJournalFormat) append({}, RecordWriter(Kind::format).number(kJournalFormat).record());
-  // A torn tail would hide every record behind it.
-  if (!try_for_a_while([&] { return disk_->truncate(kName, size_); }))
+  // A torn tail would hide every record appended after it.
+  if (!retry_until_timeout([&] { return disk_->truncate(kName, size_); }))
     throw std::system_error(errno, std::generic_category(), "PROXY_STATE: journal");
   const auto synced = [&] { return disk_->sync(kName) && disk_->sync_directory(); };
-  if (durability_ == recovery::Durability::power && !try_for_a_while(synced))
+  if (durability_ == recovery::Durability::power && !retry_until_timeout(synced))
     throw std::system_error(errno, std::generic_category(), "PROXY_STATE: journal can't be synced");
 }
 
 void Journal::read(const std::string& text) {
   RecordReader in(text);
-  Owed owed;
+  JournalReplay replay;
   while (!in.empty()) {
     const auto payload = in.record();
-    if (!payload || !apply(*payload, owed)) break;
+    if (!payload || !apply(*payload, replay)) break;
     size_ += kRecordHeaderBytes + payload->size();
   }
-  messages_ = owed.take_messages();
-  notices_ = owed.take_notices();
+  messages_ = replay.take_messages();
+  notices_ = replay.take_notices();
 }
 
-// One record read back: rebuilds the state in memory that writing it had built.
-bool Journal::apply(std::string_view payload, Owed& owed) {
+bool Journal::apply(std::string_view payload, JournalReplay& replay) {
   const std::optional<JournalRecord> r = parse_record(payload);
   if (!r) return false;
   if (r->kind == Kind::format) {
-    // Cut off at what it can't read, a journal of a later program would lose what is owed.
+    // Truncating the journal of a newer version at the first unknown record would lose pending messages.
     if (r->number > kJournalFormat)
       throw std::runtime_error("PROXY_STATE: the journal is of a later program");
     format_ = r->number;
     return true;
   }
-  owed.fold(*r);
+  replay.apply(*r);
   if (r->kind == Kind::accept) accept(r->message);
   if (r->kind == Kind::attempt) {
-    const auto found = index_.find(r->id);
-    if (found != index_.end()) record_attempt(r->id, live_.at(found->second).attempts, r->attempt);
+    const auto found = sequence_by_id_.find(r->id);
+    if (found != sequence_by_id_.end()) record_attempt(r->id, live_.at(found->second).attempts, r->attempt);
   }
   if (r->kind == Kind::numbered_attempt) {
     record_attempt(r->id, static_cast<std::uint32_t>(r->number), r->attempt);
@@ -103,99 +103,99 @@
   if (r->kind == Kind::never_ran) record_never_ran(r->id, static_cast<std::uint32_t>(r->number));
   if (r->kind == Kind::end) complete(r->id);
   if (r->kind == Kind::end_owing) complete_with_notice(r->notice, r->ended);
-  if (r->ended) ended_.remember(r->ended_id, *r->ended, read_clocks());
+  if (r->ended) completed_.remember(r->id_fingerprint, *r->ended, read_clocks());
   if (r->kind == Kind::notice_settled) settle_notice(r->id);
   if (r->kind == Kind::ban) disable_host(r->id);
   if (r->kind == Kind::lift) enable_host(r->id);
-  pending_written();  // it is in the file already
+  mark_buffered_written();  // the record is already in the file
   return true;
 }
 
 bool Journal::has_room(std::size_t bytes) const {
-  // The old file and its successor stand side by side while the journal is compacted.
-  return !failing() && reserved_ + bytes + kGrowth < most_ * 2 / 5;
+  // During a compaction the old and the new file exist side by side.
+  return !failing() && reserved_ + bytes + kGrowthBytes < max_bytes_ * 2 / 5;
 }
 
 void Journal::append(const std::string& message, std::string record) {
-  pending_.push_back({message, std::move(record)});
+  buffered_.push_back({message, std::move(record)});
 }
 
 void Journal::accept(const StoredMessage& m) {
   RecordWriter out(Kind::accept);
   out.text(m.id).text(m.cls).number(m.destination).text(m.key).text(m.body);
   std::string record = write(out, m.deadline).record();
-  const std::size_t reserved = record.size() + kGrowth;
+  const std::size_t reserved = record.size() + kGrowthBytes;
   append(m.id, record);
-  if (index_.contains(m.id)) return;
+  if (sequence_by_id_.contains(m.id)) return;
   add_live(m.id, {std::move(record), reserved});
 }
 
-void Journal::add_live(const std::string& id, Live live) {
-  reserved_ += live.reserved;
-  live_bytes_ += live.records.size();
-  index_.emplace(id, next_);
-  live_.emplace(next_++, std::move(live));
+void Journal::add_live(const std::string& id, LiveEntry entry) {
+  reserved_ += entry.reserved;
+  live_bytes_ += entry.records.size();
+  sequence_by_id_.emplace(id, next_sequence_);
+  live_.emplace(next_sequence_++, std::move(entry));
 }
 
-void Journal::extend_live(const std::string& id, Live& live, std::string record) {
-  live.records += record;
+void Journal::extend_live(const std::string& id, LiveEntry& entry, std::string record) {
+  entry.records += record;
   live_bytes_ += record.size();
   append(id, std::move(record));
 }
 
 void Journal::record_attempt(const std::string& id, std::uint32_t number, const StoredAttempt& a) {
-  const auto found = index_.find(id);
-  if (found == index_.end()) return;
-  Live& live = live_.at(found->second);
-  live.attempts = std::max(live.attempts, number + 1);
+  const auto found = sequence_by_id_.find(id);
+  if (found == sequence_by_id_.end()) return;
+  LiveEntry& entry = live_.at(found->second);
+  entry.attempts = std::max(entry.attempts, number + 1);
   RecordWriter out(Kind::numbered_attempt);
   out.text(id).number(number).text(a.host).text(a.zone);
-  extend_live(id, live, write(out, a.sent).record());
+  extend_live(id, entry, write(out, a.sent).record());
 }
 
 void Journal::record_never_ran(const std::string& id, std::uint32_t number) {
-  const auto found = index_.find(id);
-  if (found == index_.end()) return;
-  Live& live = live_.at(found->second);
-  if (number < live.attempts)
-    extend_live(id, live, RecordWriter(Kind::never_ran).text(id).number(number).record());
-}
-
-void Journal::forget(const std::string& id) {
-  const auto found = index_.find(id);
-  if (found == index_.end()) return;
-  const Live& live = live_.at(found->second);
-  reserved_ -= live.reserved;
-  live_bytes_ -= live.records.size();
+  const auto found = sequence_by_id_.find(id);
+  if (found == sequence_by_id_.end()) return;
+  LiveEntry& entry = live_.at(found->second);
+  if (number < entry.attempts)
+    extend_live(id, entry, RecordWriter(Kind::never_ran).text(id).number(number).record());
+}
+
+void Journal::erase_live(const std::string& id) {
+  const auto found = sequence_by_id_.find(id);
+  if (found == sequence_by_id_.end()) return;
+  const LiveEntry& entry = live_.at(found->second);
+  reserved_ -= entry.reserved;
+  live_bytes_ -= entry.records.size();
   live_.erase(found->second);
-  index_.erase(found);
+  sequence_by_id_.erase(found);
 }
 
 void Journal::remember_completed(const std::string& id, const Ended& ended) {
-  ended_.remember(fingerprint(id), ended, read_clocks());
+  completed_.remember(fingerprint(id), ended, read_clocks());
 }
 
 void Journal::complete(const std::string& id) { complete(id, RecordWriter(Kind::end).text(id).record()); }
 
 void Journal::complete(const std::string& id, const Ended& ended) {
   remember_completed(id, ended);
-  complete(id, end_record(id, ended));
+  complete(id, completion_record(id, ended));
 }
 
 void Journal::complete(const std::string& id, std::string record) {
-  const auto found = index_.find(id);
-  if (found == index_.end()) return;
+  const auto found = sequence_by_id_.find(id);
+  if (found == sequence_by_id_.end()) return;
   if (live_.at(found->second).written) {
     append(id, std::move(record));
-  } else {  // nothing of it may reach the file ahead of its end
-    std::erase_if(pending_, [&](const Pending& p) { return p.message == id; });
+  } else {  // nothing about the message is in the file, and none of its buffered records may be written
+    std::erase_if(buffered_, [&](const BufferedRecord& r) { return r.message == id; });
   }
-  forget(id);
+  erase_live(id);
 }
 
 bool Journal::may_survive_restart(const std::string& id) const {
-  const auto found = index_.find(id);
-  return torn_ || (found != index_.end() && live_.at(found->second).written);
+  const auto found = sequence_by_id_.find(id);
+  return torn_ || (found != sequence_by_id_.end() && live_.at(found->second).written);
 }
 
 void Journal::complete_with_notice(const Notice& n, const std::optional<Ended>& ended) {
@@ -206,17 +206,17 @@
     remember_completed(n.message, *ended);
   }
   const std::string record = out.record();
-  const auto found = index_.find(n.message);
-  const bool written = found != index_.end() && live_.at(found->second).written;
-  forget(n.message);
+  const auto found = sequence_by_id_.find(n.message);
+  const bool written = found != sequence_by_id_.end() && live_.at(found->second).written;
+  erase_live(n.message);
   append(n.message, record);
   add_live(n.message, {record, record.size(), 0, written});
 }
 
 void Journal::settle_notice(const std::string& id) {
-  if (!index_.contains(id)) return;
+  if (!sequence_by_id_.contains(id)) return;
   append(id, RecordWriter(Kind::notice_settled).text(id).record());
-  forget(id);
+  erase_live(id);
 }
 
 void Journal::disable_host(const std::string& host) {
@@ -232,17 +232,19 @@
   append({}, RecordWriter(Kind::lift).text(host).record());
 }
 
-// How many of them a new file takes along.
-std::uint64_t Journal::most_ended() const { return most_ / kEndedShare / kEndRecord; }
+std::uint64_t Journal::max_completed_records() const {
+  return max_bytes_ / kCompletedShare / kCompletionRecordBytes;
+}
 
-std::uint64_t Journal::kept_bytes() const {
-  return live_bytes_ + std::min<std::uint64_t>(ended_.size(), most_ended()) * kEndRecord;
+std::uint64_t Journal::compacted_bytes() const {
+  return live_bytes_ +
+         std::min<std::uint64_t>(completed_.size(), max_completed_records()) * kCompletionRecordBytes;
 }
 
-std::string Journal::ended_records() const {
+std::string Journal::completed_records() const {
   std::string text;
-  ended_.for_newest(most_ended(), read_clocks(),
-                    [&](std::uint64_t id, const Ended& ended) { text += end_record(id, ended); });
+  completed_.for_newest(max_completed_records(), read_clocks(),
+                        [&](std::uint64_t id, const Ended& ended) { text += completion_record(id, ended); });
   return text;
 }
 
@@ -255,68 +257,66 @@
 
 void Journal::retire() {
   retired_ = true;
-  pending_.clear();
+  buffered_.clear();
 }
 
 bool Journal::flush() {
   if (retired_) return false;
-  if (pending_.empty() && !must_rewrite_) return true;
+  if (buffered_.empty() && !must_rewrite_) return true;
   const auto now = std::chrono::steady_clock::now();
   if (failing() && now < retry_at_) return false;
-  retry_at_ = now + kRetryEvery;
-  failing_ = !write_pending();
+  retry_at_ = now + kRetryInterval;
+  failing_ = !write_buffered();
   return !failing_;
 }
 
-bool Journal::write_pending() {
+bool Journal::write_buffered() {
   std::uint64_t after = size_;
-  for (const Pending& p : pending_) after += p.record.size();
-  const std::uint64_t kept = kept_bytes();
-  if (failing() || after > std::max(kLeastCompact, 4 * kept) ||
-      whole_blocks(after) + whole_blocks(kept) > most_ * 9 / 10) {
+  for (const BufferedRecord& p : buffered_) after += p.record.size();
+  const std::uint64_t compacted = compacted_bytes();
+  if (failing() || after > std::max(kMinCompactBytes, 4 * compacted) ||
+      round_up_to_blocks(after) + round_up_to_blocks(compacted) > max_bytes_ * 9 / 10) {
     compact();
-    if (pending_.empty()) return !must_rewrite_;
+    if (buffered_.empty()) return !must_rewrite_;
   }
-  if (must_rewrite_ || whole_blocks(after) > most_ || !cut_back()) return false;
+  if (must_rewrite_ || round_up_to_blocks(after) > max_bytes_ || !truncate_torn_tail()) return false;
   std::string records;
-  for (const Pending& p : pending_) records += p.record;
+  for (const BufferedRecord& p : buffered_) records += p.record;
   torn_ = !disk_->append(kName, records);
   if (torn_) {
-    (void)cut_back();
+    (void)truncate_torn_tail();
     return false;
   }
   size_ = after;
-  pending_written();
+  mark_buffered_written();
   return true;
 }
 
-// Half a record would hide all that is appended behind it.
-bool Journal::cut_back() {
+bool Journal::truncate_torn_tail() {
   if (torn_) torn_ = !disk_->truncate(kName, size_);
   return !torn_;
 }
 
-void Journal::pending_written() {
-  for (const Pending& p : std::exchange(pending_, {})) {
-    if (const auto found = index_.find(p.message); found != index_.end())
+void Journal::mark_buffered_written() {
+  for (const BufferedRecord& p : std::exchange(buffered_, {})) {
+    if (const auto found = sequence_by_id_.find(p.message); found != sequence_by_id_.end())
       live_.at(found->second).written = true;
   }
 }
 
-// What matters, pending records included, goes to a new file. If that can't be written the old one stays.
 void Journal::compact() {
   const auto fits = [this](const std::string& text) {
-    return whole_blocks(size_) + whole_blocks(text.size()) <= most_;
+    return round_up_to_blocks(size_) + round_up_to_blocks(text.size()) <= max_bytes_;
   };
   std::string text = live_records();
-  if (std::string all = text + ended_records(); fits(all)) text = std::move(all);
+  if (std::string all = text + completed_records(); fits(all)) text = std::move(all);
   if (!fits(text)) return;
   const recovery::ReplaceResult replaced = recovery::replace_file(*disk_, kName, text, durability_);
   if (replaced == recovery::ReplaceResult::failed) return;
   size_ = text.size();
   torn_ = false;
   must_rewrite_ = replaced == recovery::ReplaceResult::unsynced;
-  pending_written();
+  mark_buffered_written();
 }
 
 }  // namespace myrtlegrade
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -1,10 +1,11 @@
-// What a relay has taken on, in a file that outlasts its process.
+// Append-only journal of the messages that a relay has accepted, in a file that outlives the process.
 //
-// Records are appended, each with a length and a checksum; a torn tail (the process was killed while it
-// wrote) is cut off at the next start. Records gather in memory until flush() writes them in one piece. When
-// little of the file still matters, what does is written to a new file that then takes the old one's name.
-// Ends that are remembered go with it as far as they fit: they never cost what is owed its room.
-// With durability `power` what was flushed outlasts the machine's power once it is synced too.
+// Each record has a length and a checksum; a torn tail, left when the process is killed during a write, is
+// truncated at the next start. Records are buffered in memory until flush() appends them in one write. When
+// only a small part of the file is still live, compaction writes the live records to a new file, which then
+// replaces the old one. Records of completed messages are carried over only as far as they fit: they never
+// take space that pending messages and notices need. With durability `power`, flushed records survive a power
+// failure once they are synced too.
 #pragma once
 
 #include <chrono>
@@ -26,6 +27,7 @@
 
 namespace myrtlegrade {
 
+// An attempt, as the journal records it.
 struct StoredAttempt {
   std::string host;
   std::string zone;
@@ -33,6 +35,7 @@
   bool may_have_run = true;  // until its outcome proves that it did not
 };
 
+// An accepted message, as the journal records it.
 struct StoredMessage {
   std::string id;
   std::string cls;
@@ -43,127 +46,140 @@
   std::vector<StoredAttempt> attempts;
 };
 
+// Report to the platform about a message that is not delivered.
 struct Notice {
   std::string message;
-  bool handed_back = false;  // otherwise given up
+  bool handed_back = false;  // to be submitted again after `retry_in`; otherwise given up
   std::chrono::milliseconds retry_in{};
-  // When the platform has to have it, by the steady clock; not stored. None: as soon as can be.
+  // Steady-clock time by which the platform must have received it; not stored. None: as soon as possible.
   std::optional<vetchhinge::Time> due_by{};
 };
 
-class Owed;  // while it is read
+class JournalReplay;
 
+// Not thread-safe, except for the jobs that sync_later() returns.
 class Journal {
  public:
-  // Reads what an earlier process left. Throws std::system_error if the folder can't be used.
-  Journal(const std::string& folder, std::uint64_t most_bytes,
+  // Replays the journal of the previous process. Throws std::system_error if the folder can't be used, and
+  // std::runtime_error if a newer version of the program wrote the journal.
+  Journal(const std::string& folder, std::uint64_t max_bytes,
           valedrum::recovery::Durability durability = valedrum::recovery::Durability::process);
-  // The disk outlives the journal.
-  Journal(valedrum::recovery::Disk& disk, std::uint64_t most_bytes,
-          valedrum::recovery::Durability durability);
+  // `disk` must outlive the journal.
+  Journal(valedrum::recovery::Disk& disk, std::uint64_t max_bytes, valedrum::recovery::Durability durability);
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  // Still owed, in the order taken, as found at the start. Hands them over.
+  // Move out the messages and notices that were pending at the start, in the order of acceptance.
   std::vector<StoredMessage> take_messages() { return std::exchange(messages_, {}); }
   std::vector<Notice> take_notices() { return std::exchange(notices_, {}); }
 
-  // Whether a message with so many bytes of text fits, with all that may yet have to be written about it.
+  // Returns whether a message with `bytes` bytes of text fits, along with all later records about it.
   bool has_room(std::size_t bytes) const;
 
+  // Records an accepted message.
   void accept(const StoredMessage& message);
-  // An attempt that may run from now on. Attempts with lower numbers that were not recorded never ran.
+  // Records an attempt before it is sent. Attempts with lower numbers that were not recorded never ran.
   void record_attempt(const std::string& id, std::uint32_t number, const StoredAttempt& attempt);
-  // The outcome of an attempt proves it. Nothing is written for one that was not recorded.
+  // Records that an attempt's outcome proves that it did not run. No-op for an attempt without a record.
   void record_never_ran(const std::string& id, std::uint32_t number);
-  void complete(const std::string& id);  // nothing more is owed
+  // Records that a message needs no further work. With `ended`, its outcome is remembered for repeated
+  // requests.
+  void complete(const std::string& id);
   void complete(const std::string& id, const Ended& ended);
+  // Records that a message has ended without delivery and that its notice is pending.
   void complete_with_notice(const Notice& notice, const std::optional<Ended>& ended = std::nullopt);
+  // Records that the platform has received the notice.
   void settle_notice(const std::string& id);
 
-  // What is remembered of one that has ended; null: nothing.
+  // Returns the remembered outcome of a completed message, or null.
   const Ended* find_completed(const std::string& id) const {
-    return ended_.find(fingerprint(id), read_clocks());
+    return completed_.find(fingerprint(id), read_clocks());
   }
-  // It is told otherwise than was written down, which only a restart goes by.
+  // Overrides the remembered outcome in memory; a restart still uses the recorded one.
   void remember_completed(const std::string& id, const Ended& ended);
-  // Owed, or its notice is not settled.
-  bool contains(const std::string& id) const { return index_.contains(id); }
+  // Returns whether the message or its notice is pending.
+  bool contains(const std::string& id) const { return sequence_by_id_.contains(id); }
 
-  // Hosts that are taken out by hand, until they are put back.
+  // Hosts disabled by the operator, across restarts, until they are enabled again.
   void disable_host(const std::string& host);
   void enable_host(const std::string& host);
   const std::set<std::string>& disabled_hosts() const { return disabled_hosts_; }
 
-  // Another process writes from now on.
+  // Stops writing, because a successor process writes the journal from now on. Drops buffered records.
   void retire();
 
-  // False if the disk takes no more: the records are kept for the next try, and nothing that depends on
-  // them may be done. While that lasts the folder is tried at most every 50 ms.
+  // Writes the buffered records. Returns false if the disk rejects them: they stay buffered for the next try,
+  // and no action that depends on them may be taken. While the disk fails, it is tried at most every 50 ms.
   bool flush();
-  // The last flush did not succeed, or what was synced may be lost: flush() has to be called until it
+  // Returns whether the last flush failed or synced data may be lost. flush() then has to be called until it
   // succeeds.
   bool failing() const { return failing_ || must_rewrite_; }
-  // A restart may find this message, though it is ended now, until a flush succeeds.
+  // Returns whether a restart may find this message, although it is completed, until a flush succeeds.
   bool may_survive_restart(const std::string& id) const;
-  // Syncs what has been flushed by now; another thread may do it. False: what it covered may be lost,
-  // whatever a later one says, and mark_sync_failed() has to be called.
+  // Returns a job that syncs all that is flushed by now; any thread may run it. If the job returns false, the
+  // data it covers may be lost even if a later sync succeeds, and mark_sync_failed() has to be called.
   std::function<bool()> sync_later() { return disk_->sync_later(kName); }
-  // All that matters has to be written and synced once more, to a new file; nothing is taken before that.
+  // Forces the next flush to write and sync all live records to a new file. No message is accepted before
+  // that.
   void mark_sync_failed() { must_rewrite_ = true; }
 
  private:
-  Journal(std::unique_ptr<valedrum::recovery::Disk> own, std::uint64_t most_bytes,
+  Journal(std::unique_ptr<valedrum::recovery::Disk> owned_disk, std::uint64_t max_bytes,
           valedrum::recovery::Durability durability);
-  struct Live {
+  // Records that a restart needs, of one message or notice.
+  struct LiveEntry {
     std::string records;
     std::size_t reserved = 0;
-    std::uint32_t attempts = 0;  // recorded, or passed over by a later number
-    bool written = false;        // the file has it, or a part of it
+    std::uint32_t attempts = 0;  // one more than the highest recorded number
+    bool written = false;        // the file has at least one of the records
   };
-  struct Pending {
-    std::string message;  // empty: of none
+  struct BufferedRecord {
+    std::string message;  // empty: the record belongs to no message
     std::string record;
   };
 
   void append(const std::string& message, std::string record);
-  bool write_pending();
-  bool cut_back();
-  void pending_written();
-  void add_live(const std::string& id, Live live);
-  void extend_live(const std::string& id, Live& live, std::string record);
+  bool write_buffered();
+  // Truncates a torn record, which would hide all records appended after it.
+  bool truncate_torn_tail();
+  void mark_buffered_written();
+  void add_live(const std::string& id, LiveEntry entry);
+  void extend_live(const std::string& id, LiveEntry& entry, std::string record);
   void read(const std::string& text);
-  bool apply(std::string_view payload, Owed& owed);
+  // Applies one record read back: rebuilds the in-memory state that writing it had produced.
+  bool apply(std::string_view payload, JournalReplay& replay);
   std::string live_records() const;
-  std::string ended_records() const;
-  std::uint64_t most_ended() const;
-  std::uint64_t kept_bytes() const;
+  std::string completed_records() const;
+  // Returns how many records of completed messages a compaction carries over.
+  std::uint64_t max_completed_records() const;
+  std::uint64_t compacted_bytes() const;
   void complete(const std::string& id, std::string record);
-  void forget(const std::string& id);
+  void erase_live(const std::string& id);
+  // Writes the live records, buffered ones included, to a new file. If that fails, the old file stays in use.
   void compact();
   static constexpr const char* kName = "journal";
 
-  std::unique_ptr<valedrum::recovery::Disk> own_;
+  std::unique_ptr<valedrum::recovery::Disk> owned_disk_;
   valedrum::recovery::Disk* disk_;
-  std::uint64_t most_;
+  std::uint64_t max_bytes_;
   valedrum::recovery::Durability durability_;
-  std::uint64_t size_ = 0;        // of the file
-  std::vector<Pending> pending_;  // not written yet
+  std::uint64_t size_ = 0;                // of the file
+  std::vector<BufferedRecord> buffered_;  // not yet written
   bool retired_ = false;
   bool failing_ = false;       // the last flush did not succeed
-  bool torn_ = false;          // the file is longer than size_
+  bool torn_ = false;          // the file is longer than size_, by part of a record
   bool must_rewrite_ = false;  // a sync failed
   std::chrono::steady_clock::time_point retry_at_{};
-  std::uint64_t reserved_ = 0;    // bytes of live records, with what they may grow by
+  std::uint64_t reserved_ = 0;    // bytes of live records and their possible growth
   std::uint64_t live_bytes_ = 0;  // of live records
   std::uint64_t format_ = 1;      // of the file, as read
-  std::uint64_t next_ = 0;
-  std::map<std::uint64_t, Live> live_;  // in the order taken
-  std::unordered_map<std::string, std::uint64_t> index_;
+  std::uint64_t next_sequence_ = 0;
+  std::map<std::uint64_t, LiveEntry> live_;  // by sequence number: in the order of acceptance
+  std::unordered_map<std::string, std::uint64_t> sequence_by_id_;
   std::vector<StoredMessage> messages_;
   std::vector<Notice> notices_;
   std::set<std::string> disabled_hosts_;
-  EndedMessages ended_;
+  EndedMessages completed_;
 };
 
 }  // namespace myrtlegrade
--- a/relay/journal_records.cpp
+++ b/relay/journal_records.cpp
@@ -8,7 +8,7 @@
   return out.time(at.wall).number(at.boot).time(at.steady);
 }
 
-// Earlier programs wrote the time of day alone.
+// Older versions wrote only the wall-clock time.
 Moment read_moment(RecordReader& in) {
   Moment at{in.time<WallTime>(), 0, {}};
   if (in.empty()) return at;
@@ -19,22 +19,22 @@
 
 namespace {
 
-void read_memory(RecordReader& in, JournalRecord& r) {
-  if (in.empty()) return;  // of an earlier program, or of one that is not remembered
-  r.ended_id = r.id.empty() ? in.number() : fingerprint(r.id);
+void read_outcome(RecordReader& in, JournalRecord& r) {
+  if (in.empty()) return;  // written by an older version, or the outcome is not remembered
+  r.id_fingerprint = r.id.empty() ? in.number() : fingerprint(r.id);
   r.ended = read_ended(in);
 }
 
 }  // namespace
 
-std::string end_record(const std::string& id, const Ended& ended) {
+std::string completion_record(const std::string& id, const Ended& ended) {
   RecordWriter out(RecordKind::end);
   return write(out.text(id), ended).record();
 }
 
-std::string end_record(std::uint64_t id, const Ended& ended) {
+std::string completion_record(std::uint64_t id_fingerprint, const Ended& ended) {
   RecordWriter out(RecordKind::end);
-  return write(out.text({}).number(id), ended).record();
+  return write(out.text({}).number(id_fingerprint), ended).record();
 }
 
 std::optional<JournalRecord> parse_record(std::string_view payload) {
@@ -56,17 +56,17 @@
     case RecordKind::numbered_attempt:
       r.number = in.number();
       r.attempt = {in.text(), in.text(), read_moment(in)};
-      if (r.number >= kMostAttempts) return std::nullopt;
+      if (r.number >= kMaxAttempts) return std::nullopt;
       break;
     case RecordKind::never_ran:
       r.number = in.number();
       break;
     case RecordKind::end_owing:
       r.notice = {r.id, in.number() != 0, std::chrono::milliseconds(in.number())};
-      read_memory(in, r);
+      read_outcome(in, r);
       break;
     case RecordKind::end:
-      read_memory(in, r);
+      read_outcome(in, r);
       break;
     case RecordKind::notice_settled:
     case RecordKind::ban:
@@ -81,8 +81,7 @@
 
 namespace {
 
-void record_attempt(std::vector<StoredAttempt>& attempts, std::uint64_t number,
-                    const StoredAttempt& attempt) {
+void store_attempt(std::vector<StoredAttempt>& attempts, std::uint64_t number, const StoredAttempt& attempt) {
   StoredAttempt not_sent;
   not_sent.may_have_run = false;
   if (number >= attempts.size()) attempts.resize(number + 1, not_sent);
@@ -91,13 +90,14 @@
 
 }  // namespace
 
-void Owed::fold(const JournalRecord& r) {
-  StoredMessage* known = messages_.find(r.id);
-  if (r.kind == RecordKind::accept && !known) messages_.add(r.id, r.message);
-  if (r.kind == RecordKind::attempt && known) known->attempts.push_back(r.attempt);
-  if (r.kind == RecordKind::numbered_attempt && known) record_attempt(known->attempts, r.number, r.attempt);
-  if (r.kind == RecordKind::never_ran && known && r.number < known->attempts.size()) {
-    known->attempts[r.number].may_have_run = false;
+void JournalReplay::apply(const JournalRecord& r) {
+  StoredMessage* message = messages_.find(r.id);
+  if (r.kind == RecordKind::accept && !message) messages_.add(r.id, r.message);
+  if (r.kind == RecordKind::attempt && message) message->attempts.push_back(r.attempt);
+  if (r.kind == RecordKind::numbered_attempt && message)
+    store_attempt(message->attempts, r.number, r.attempt);
+  if (r.kind == RecordKind::never_ran && message && r.number < message->attempts.size()) {
+    message->attempts[r.number].may_have_run = false;
   }
   if (r.kind == RecordKind::end || r.kind == RecordKind::end_owing) messages_.erase(r.id);
   if (r.kind == RecordKind::end_owing || r.kind == RecordKind::notice_settled) notices_.erase(r.id);
--- a/relay/journal_records.h
+++ b/relay/journal_records.h
@@ -1,4 +1,4 @@
-// The records of the journal's file, for what writes it and what only looks at it.
+// Records of the journal file: their encoding, their parser, and the replay of a sequence of records.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,13 @@
 
 namespace myrtlegrade {
 
-// Always the last field of its record.
+// A timestamp is always the last field of its record.
 RecordWriter& write(RecordWriter& out, const Moment& at);
 Moment read_moment(RecordReader& in);
 
+// Kinds of records. Their numbers are part of the file format, and `myrtlegrade journal stats` prints their
+// names. `end` is written by Journal::complete(), `end_owing` by complete_with_notice(), `ban` and `lift` by
+// disable_host() and enable_host().
 enum class RecordKind : std::uint8_t {
   accept = 1,
   attempt,
@@ -31,39 +34,42 @@
   ban,
   lift,
   format,
-  numbered_attempt  // written since format 3, where `attempt` was written before
+  numbered_attempt  // replaces `attempt` since format 3
 };
 
-// What a format record tells; without one it is 1, which knew no bans. 2 numbered attempts by their order.
+// Version in the format record. A file without one has format 1, which had no records of disabled hosts. Up
+// to format 2 attempts were numbered by their order.
 inline constexpr std::uint64_t kJournalFormat = 3;
-// An attempt's number is below this: a higher one is taken for a damaged record.
-inline constexpr std::uint64_t kMostAttempts = 1 << 16;
+// Exclusive bound on attempt numbers; a record with a higher one counts as damaged.
+inline constexpr std::uint64_t kMaxAttempts = 1 << 16;
 
+// A parsed record. `kind` determines which of the other fields are set.
 struct JournalRecord {
   RecordKind kind{};
-  std::string id;            // of the message, or the host that is banned
+  std::string id;            // of the message; ban, lift: of the host
   StoredMessage message;     // accept
   StoredAttempt attempt;     // attempt, numbered_attempt
-  std::uint64_t number = 0;  // never_ran, numbered_attempt: of the attempt; format
+  std::uint64_t number = 0;  // never_ran, numbered_attempt: attempt number; format: version
   Notice notice;             // end_owing
-  // end, end_owing: written behind the fields that earlier programs know, which read over it.
+  // end, end_owing: appended after the fields known to older versions, which ignore it.
   std::optional<Ended> ended;
-  std::uint64_t ended_id = 0;  // fingerprint of the message's id
+  std::uint64_t id_fingerprint = 0;  // set along with `ended`
 };
 
-// As a start takes them up: what is owed, and the notices that are not settled, each in the order taken. A
-// record costs the same however much is owed.
-class Owed {
+// Replays records to the messages and notices that are pending after them, each in the order of acceptance.
+// The cost of a record does not depend on the number of pending messages.
+class JournalReplay {
  public:
-  void fold(const JournalRecord& record);
+  void apply(const JournalRecord& record);
 
-  // Hand them over.
+  // Move out the result.
   std::vector<StoredMessage> take_messages() { return messages_.take(); }
   std::vector<Notice> take_notices() { return notices_.take(); }
 
  private:
+  // Entries in insertion order, with lookup by id.
   template <typename Entry>
-  class Ordered {
+  class OrderedById {
    public:
     Entry* find(const std::string& id) {
       const auto found = at_.find(id);
@@ -90,17 +96,18 @@
     std::unordered_map<std::string, typename std::list<Entry>::iterator> at_;
   };
 
-  Ordered<StoredMessage> messages_;
-  Ordered<Notice> notices_;
+  OrderedById<StoredMessage> messages_;
+  OrderedById<Notice> notices_;
 };
 
-// An end that is remembered. Without an id only its fingerprint is known by now.
-std::string end_record(const std::string& id, const Ended& ended);
-std::string end_record(std::uint64_t id, const Ended& ended);
-inline constexpr std::size_t kEndRecord =
-    kRecordHeaderBytes + 1 + 7 * sizeof(std::uint64_t);  // without an id
+// Encodes the completion of a message whose outcome is remembered. After a restart only the fingerprint of
+// the id may be known.
+std::string completion_record(const std::string& id, const Ended& ended);
+std::string completion_record(std::uint64_t id_fingerprint, const Ended& ended);
+// Size of a completion record without an id.
+inline constexpr std::size_t kCompletionRecordBytes = kRecordHeaderBytes + 1 + 7 * sizeof(std::uint64_t);
 
-// What a record's payload says; none where it can't be read.
+// Parses the payload of a record. Returns nothing if it is malformed or of an unknown kind.
 std::optional<JournalRecord> parse_record(std::string_view payload);
 
 }  // namespace myrtlegrade
--- a/relay/journal_view.cpp
+++ b/relay/journal_view.cpp
@@ -33,34 +33,34 @@
   JournalView view;
   view.bytes = text.size();
   RecordReader in(text);
-  Owed owed;
-  for (std::uint64_t at = 0; !in.empty();) {
-    const std::uint64_t left = text.size() - at;
-    RecordReader head(std::string_view(text).substr(at));
+  JournalReplay replay;
+  for (std::uint64_t offset = 0; !in.empty();) {
+    const std::uint64_t left = text.size() - offset;
+    RecordReader head(std::string_view(text).substr(offset));
     const std::uint64_t length = head.number(4);
     const auto payload = in.record();
     const auto record = payload ? parse_record(*payload) : std::nullopt;
     if (!record) {
       const bool torn = left < kRecordHeaderBytes || length > left - kRecordHeaderBytes;
-      view.damage = {at, left, torn,
+      view.damage = {offset, left, torn,
                      torn      ? "the record is cut off"
                      : payload ? "the record is of a kind that is not known"
                                : "the checksum does not hold"};
       break;
     }
     if (record->kind == RecordKind::format && record->number > kJournalFormat) {
-      throw std::runtime_error(path + ": is of format " + std::to_string(record->number) + ", newer than " +
+      throw std::runtime_error(path + ": has format " + std::to_string(record->number) + ", newer than " +
                                std::to_string(kJournalFormat));
     }
     ++view.records[std::string(name_of(record->kind))];
-    owed.fold(*record);
+    replay.apply(*record);
     if (record->kind == RecordKind::format) view.format = record->number;
-    if (record->kind == RecordKind::ban) view.banned.insert(record->id);
-    if (record->kind == RecordKind::lift) view.banned.erase(record->id);
-    at += kRecordHeaderBytes + payload->size();
+    if (record->kind == RecordKind::ban) view.disabled_hosts.insert(record->id);
+    if (record->kind == RecordKind::lift) view.disabled_hosts.erase(record->id);
+    offset += kRecordHeaderBytes + payload->size();
   }
-  view.messages = owed.take_messages();
-  view.notices = owed.take_notices();
+  view.messages = replay.take_messages();
+  view.notices = replay.take_notices();
   return view;
 }
 
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -1,4 +1,4 @@
-// One real relay: configuration, signals, wiring.
+// Entry point of the relay: configuration, signals and wiring.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -14,46 +14,46 @@
 
 namespace {
 
-// A file that can't be used must not cost a relay that works: it goes on with what it has, and says so. Nor
-// may it stand still for as long as a long file takes to read.
-void reload(boost::asio::thread_pool& reading, boost::asio::io_context& context,
+// Reloads the configuration. A running relay must survive an unusable file: it keeps its configuration and
+// logs the error. The file is read on another thread, because reading a long one would block the event loop.
+void reload(boost::asio::thread_pool& reader_thread, boost::asio::io_context& context,
             myrtlegrade::Succession& succession) {
-  boost::asio::post(reading, [&context, &succession] {
+  boost::asio::post(reader_thread, [&context, &succession] {
     try {
       const myrtlegrade::Config config =
           myrtlegrade::load_config(myrtlegrade::ConfigReader::KnownHosts::skip);
       boost::asio::post(context, [&succession, config] {
         succession.reload(config);
-        std::cerr << "myrtlegrade: configuration read again, discovery at " << config.discovery << std::endl;
+        std::cerr << "myrtlegrade: configuration reloaded, discovery at " << config.discovery << std::endl;
       });
     } catch (const std::exception& e) {
-      std::cerr << "myrtlegrade: configuration kept: " << e.what() << std::endl;
+      std::cerr << "myrtlegrade: configuration not reloaded: " << e.what() << std::endl;
     }
   });
 }
 
-// Its configuration and folder are named by the environment.
+// Runs the relay. The environment names its configuration and state folder.
 int serve() {
   try {
     boost::asio::io_context context(1);
-    // Before all that takes time: until it is handled, each of these signals ends the process.
-    boost::asio::signal_set endings(context, SIGTERM, SIGINT);
-    boost::asio::signal_set reloads(context, SIGHUP);
-    boost::asio::thread_pool reading(1);
+    // Registered before any slow step: an unhandled one of these signals ends the process.
+    boost::asio::signal_set stop_signals(context, SIGTERM, SIGINT);
+    boost::asio::signal_set reload_signals(context, SIGHUP);
+    boost::asio::thread_pool reader_thread(1);
     myrtlegrade::Succession succession(
         context.get_executor(), myrtlegrade::load_config(), [&] { context.stop(); },
-        [&] { reload(reading, context, succession); });
-    endings.async_wait([&](boost::system::error_code error, int) {
+        [&] { reload(reader_thread, context, succession); });
+    stop_signals.async_wait([&](boost::system::error_code error, int) {
       if (!error) succession.end();
     });
-    std::function<void()> await_reload = [&] {
-      reloads.async_wait([&](boost::system::error_code error, int) {
+    std::function<void()> await_reload_signal = [&] {
+      reload_signals.async_wait([&](boost::system::error_code error, int) {
         if (error) return;
-        reload(reading, context, succession);
-        await_reload();
+        reload(reader_thread, context, succession);
+        await_reload_signal();
       });
     };
-    await_reload();
+    await_reload_signal();
     succession.start();
     context.run();
   } catch (const std::exception& e) {
@@ -65,5 +65,5 @@
 
 }  // namespace
 
-// Without arguments it is a relay, as the platform starts it.
+// Without arguments the program runs the relay; the platform starts it so.
 int main(int argc, char** argv) { return argc == 1 ? serve() : myrtlegrade::run_commands(argc, argv, serve); }
--- a/relay/message_trace.cpp
+++ b/relay/message_trace.cpp
@@ -16,12 +16,12 @@
   return set;
 }
 
-void MessageTrace::write(std::string_view message, std::string_view what, std::string_view fields) {
+void MessageTrace::write(std::string_view message, std::string_view name, std::string_view fields) {
   using Milliseconds = std::chrono::duration<double, std::milli>;
   const Milliseconds now = std::chrono::steady_clock::now().time_since_epoch();
   std::ostringstream line;
   line << "myrtlegrade trace " << std::fixed << std::setprecision(3) << now.count() << ' ' << message << ' '
-       << what << fields << '\n';
+       << name << fields << '\n';
   std::cerr << line.str() << std::flush;
 }
 
--- a/relay/message_trace.h
+++ b/relay/message_trace.h
@@ -1,10 +1,10 @@
-// A trace of single messages: one line on standard error for each change of a message's state, so that
-// `grep ID` over the logs of all processes shows a message's whole way. Off unless the environment has
-// PROXY_TRACE=1; an event costs one test of a flag then.
+// Trace of single messages: one line on standard error for each change of a message's state, so that `grep
+// ID` over the logs of all processes shows the whole path of a message. Disabled unless the environment sets
+// PROXY_TRACE=1; a disabled event costs one test of a flag.
 //
 //   myrtlegrade trace 1234.567 9b1f03aa5c7e2d41 outcome attempt=0 result=reset
 //
-// The time is the monotonic clock in milliseconds, comparable between the processes of one machine.
+// The time is the monotonic clock in milliseconds, comparable between processes on one machine.
 #pragma once
 
 #include <sstream>
@@ -16,10 +16,10 @@
  public:
   static bool enabled();
 
-  // `fields` are names and values in turn: trace("id", "outcome", "attempt", 0, "result", "reset").
+  // `fields` alternate between names and values: event("id", "outcome", "attempt", 0, "result", "reset").
   template <typename... Fields>
-  static void event(std::string_view message, std::string_view what, const Fields&... fields) {
-    if (enabled()) write(message, what, format(fields...));
+  static void event(std::string_view message, std::string_view name, const Fields&... fields) {
+    if (enabled()) write(message, name, format(fields...));
   }
 
  private:
@@ -32,7 +32,7 @@
   }
   static std::string format() { return {}; }
 
-  static void write(std::string_view message, std::string_view what, std::string_view fields);
+  static void write(std::string_view message, std::string_view name, std::string_view fields);
 };
 
 }  // namespace myrtlegrade
--- a/relay/spare_descriptor.h
+++ b/relay/spare_descriptor.h
@@ -1,4 +1,4 @@
-// A descriptor kept for what must not wait until the process has one to spare.
+// A reserved file descriptor for work that must not wait while the process has no free descriptor.
 #pragma once
 
 #include <fcntl.h>
@@ -15,11 +15,11 @@
   SpareDescriptor(const SpareDescriptor&) = delete;
   SpareDescriptor& operator=(const SpareDescriptor&) = delete;
 
-  // Where there is none to keep now, a later call may find one.
+  // Reserves a descriptor. If none is free, a later call may succeed.
   void reserve() {
     if (file_ < 0) file_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
   }
-  // Whoever opens something next gets it.
+  // Frees the descriptor for the next file or socket that is opened.
   void release() {
     if (file_ >= 0) ::close(std::exchange(file_, -1));
   }
--- a/relay/system_errors.h
+++ b/relay/system_errors.h
@@ -1,4 +1,4 @@
-// Errors of system calls that pass by themselves.
+// Classification of transient errors of system calls.
 #pragma once
 
 #include <boost/system/errc.hpp>
@@ -6,16 +6,16 @@
 
 namespace myrtlegrade {
 
-// The process or the system has no descriptor, buffer or memory left for the moment, or a signal came
-// between.
+// The process or the system is temporarily out of descriptors, buffers or memory, or a signal interrupted the
+// call.
 inline bool is_temporary_error(const boost::system::error_code& error) {
   namespace errc = boost::system::errc;
   return error == errc::too_many_files_open || error == errc::too_many_files_open_in_system ||
          error == errc::no_buffer_space || error == errc::not_enough_memory || error == errc::interrupted;
 }
 
-// Of an accept: the connection that was next is gone, or the network has told of its end already. accept(2)
-// asks for the next one then.
+// An error of accept() that concerns only the next connection: it is gone, or the network has already
+// reported an error for it. accept(2) advises to retry with the next connection.
 inline bool is_single_connection_error(const boost::system::error_code& error) {
   namespace errc = boost::system::errc;
   return error == errc::connection_aborted || error == errc::protocol_error || error == errc::interrupted ||
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,4 +1,4 @@
-// The second address: calls of the operators' staff, what stays of them, and callers that misbehave.
+// Tests of the admin address: the operators' commands, their effect across restarts, and misbehaving clients.
 #include "relay_fixture.h"
 
 namespace myrtlegrade::test {
@@ -12,14 +12,14 @@
     add_host("alone", 3, "plain", kAccept);
     start(with_second_address());
   }
-  std::size_t seen_at(const std::string& host) {
+  std::size_t deliveries_to(const std::string& host) {
     return watched_.read(
         [&] { return static_cast<std::size_t>(std::ranges::count(deliveries_, host, &Delivery::host)); });
   }
   unsigned health() { return ask(address_, Request{http::verb::get, "/_health", 11}).result_int(); }
   std::string call(const std::string& line) { return test::call(second_, line); }
-  // Messages one after the other, so that a host with none out is free to be chosen.
-  void pass(const std::string& prefix, int dest, int count) {
+  // Sends one message after another, so that a host with no call in flight is available for each.
+  void deliver_each(const std::string& prefix, int dest, int count) {
     for (int i = 0; i < count; ++i) pass_marker(prefix + std::to_string(i), dest);
   }
 };
@@ -33,7 +33,7 @@
     EXPECT_TRUE(call(line).starts_with("NAK")) << line;
   }
   EXPECT_TRUE(call(std::string(5000, 'x')).starts_with("NAK"));
-  pass("a", 2, 4);
+  deliver_each("a", 2, 4);
 }
 
 TEST_F(AdminTest, CallersThatStallKeepNobodyOut) {
@@ -46,48 +46,48 @@
   }
   EXPECT_EQ(call("HEALTH"), "ACK");
   char byte = 0;
-  for (tcp::socket& socket : stalled) {  // each is closed in the end, without a reply
+  for (tcp::socket& socket : stalled) {  // each is closed at last, without a reply
     boost::system::error_code ended;
     EXPECT_EQ(boost::asio::read(socket, boost::asio::buffer(&byte, 1), ended), 0U);
   }
 }
 
-TEST_F(AdminTest, NothingGoesToAHostThatIsOutByHandWhateverTheListSays) {
+TEST_F(AdminTest, NothingIsSentToAHostDisabledByTheOperatorWhateverTheListSays) {
   start_with_hosts();
   EXPECT_EQ(call("OFFLINE h1"), "ACK");
   EXPECT_EQ(call("OFFLINE h1"), "ACK");
-  pass("a", 2, 6);
-  push(list({"h1"}));  // as if it had come anew
-  pass("b", 2, 6);
-  EXPECT_EQ(seen_at("h1"), 0U);
+  deliver_each("a", 2, 6);
+  push(list({"h1"}));  // as if discovery had just added it
+  deliver_each("b", 2, 6);
+  EXPECT_EQ(deliveries_to("h1"), 0U);
   EXPECT_EQ(call("ONLINE h1"), "ACK");
   EXPECT_EQ(call("ONLINE h1"), "ACK");
   EXPECT_EQ(call("OFFLINE h2"), "ACK");
   ASSERT_EQ(hand_in("c", "note", 2), 202U);
   ASSERT_TRUE(wait_seen("c"));
-  EXPECT_EQ(seen_at("h1"), 1U);
+  EXPECT_EQ(deliveries_to("h1"), 1U);
 }
 
-TEST_F(AdminTest, ABanOutlivesTheProcessHoweverItEnds) {
+TEST_F(AdminTest, ADisabledHostStaysDisabledHoweverTheProcessEnds) {
   start_with_hosts();
   EXPECT_EQ(call("OFFLINE h1"), "ACK");
   stop(SIGKILL);
   start(with_second_address());
-  pass("a", 2, 6);
+  deliver_each("a", 2, 6);
   stop(SIGTERM);
   start(with_second_address());
-  pass("b", 2, 6);
-  EXPECT_EQ(seen_at("h1"), 0U);
+  deliver_each("b", 2, 6);
+  EXPECT_EQ(deliveries_to("h1"), 0U);
   EXPECT_EQ(call("ONLINE h1"), "ACK");
   stop(SIGKILL);
   start(with_second_address());
   EXPECT_EQ(call("OFFLINE h2"), "ACK");
   ASSERT_EQ(hand_in("c", "note", 2), 202U);
   ASSERT_TRUE(wait_seen("c"));
-  EXPECT_EQ(seen_at("h1"), 1U);
+  EXPECT_EQ(deliveries_to("h1"), 1U);
 }
 
-TEST_F(AdminTest, WhatIsHeldForTheOnlyHostIsHandedBackAtOnce) {
+TEST_F(AdminTest, MessagesQueuedForTheOnlyHostAreHandedBackAtOnce) {
   start_with_hosts();
   behave("alone", silent());
   for (int i = 0; i < 14; ++i) EXPECT_EQ(hand_in("h" + std::to_string(i), "note", 3), 202U);
@@ -121,7 +121,7 @@
   const Response last = exchange(kept, "b1");
   EXPECT_EQ(last.result_int(), 202U);
   EXPECT_FALSE(last.keep_alive());
-  EXPECT_EQ(hand_in("b2", "note", 2), 202U);  // who did not hear of it yet is served
+  EXPECT_EQ(hand_in("b2", "note", 2), 202U);  // a client that has not noticed yet is served
   char byte = 0;
   boost::system::error_code ended;
   EXPECT_EQ(boost::asio::read(idle, boost::asio::buffer(&byte, 1), ended), 0U);
--- a/tests/fleet_config_test.cpp
+++ b/tests/fleet_config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration's `fleet` object, and the file that says which member a folder belongs to.
+// Tests of the `fleet` object of the configuration, and of the file that persists a member's identity.
 #include "fleet_config.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 namespace fs = std::filesystem;
 namespace json = boost::json;
 
-std::string refusal(const std::string& text) {
+std::string error_of(const std::string& text) {
   try {
     parse_fleet(json::parse(text).as_object(), "z");
   } catch (const std::exception& e) {
@@ -53,37 +53,37 @@
       {R"({"name":"","bind":"1.1.1.1:1"})", "fleet.name"},
   };
   for (const auto& [text, where] : cases) {
-    EXPECT_NE(refusal(text).find(where), std::string::npos) << text << ": " << refusal(text);
+    EXPECT_NE(error_of(text).find(where), std::string::npos) << text << ": " << error_of(text);
   }
 }
 
 TEST(FleetIdentity, IsKeptAndTrustedOnlyWhereItIsWholeAndItsOwn) {
   std::string folder = fs::temp_directory_path() / "identity-XXXXXX";
   ASSERT_TRUE(::mkdtemp(folder.data()));
-  const auto of = [&](const char* fleet, const char* name) {
+  const auto stored_incarnation = [&](const char* fleet, const char* name) {
     return FleetIdentity(folder, fleet, name).incarnation();
   };
-  EXPECT_EQ(of("f", "a"), 0U);
+  EXPECT_EQ(stored_incarnation("f", "a"), 0U);
   EXPECT_TRUE(FleetIdentity(folder, "f", "a").save(7));
-  EXPECT_EQ(of("f", "a"), 7U);
-  EXPECT_EQ(of("g", "a"), 0U);
-  EXPECT_EQ(of("f", "b"), 0U);
+  EXPECT_EQ(stored_incarnation("f", "a"), 7U);
+  EXPECT_EQ(stored_incarnation("g", "a"), 0U);
+  EXPECT_EQ(stored_incarnation("f", "b"), 0U);
   const auto write = [&](const std::string& bytes) {
     std::ofstream(folder + "/fleet", std::ios::binary | std::ios::trunc) << bytes;
   };
   const std::string whole = RecordWriter(1).text("f").text("a").number(7).record();
   for (std::size_t n = 0; n < whole.size(); ++n) {
     write(whole.substr(0, n));
-    EXPECT_EQ(of("f", "a"), 0U) << n;
+    EXPECT_EQ(stored_incarnation("f", "a"), 0U) << n;
     std::string flipped = whole;
     flipped[n] ^= 4;
     write(flipped);
-    EXPECT_EQ(of("f", "a"), 0U) << n;
+    EXPECT_EQ(stored_incarnation("f", "a"), 0U) << n;
   }
   write(RecordWriter(2).text("f").text("a").number(7).record());
-  EXPECT_THROW(of("f", "a"), std::runtime_error);
-  FleetIdentity nowhere(folder + "/missing", "f", "a");
-  EXPECT_FALSE(nowhere.save(1));
+  EXPECT_THROW(stored_incarnation("f", "a"), std::runtime_error);
+  FleetIdentity unwritable(folder + "/missing", "f", "a");
+  EXPECT_FALSE(unwritable.save(1));
   fs::remove_all(folder);
 }
 
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the relay's journal: replay, compaction, the limit on its size, and damaged files.
 #include "journal.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +31,7 @@
     return {id, "refund", 7, "key-" + id, std::string(body, '\0'), {WallTime(5s)}, {}};
   }
   fs::path file() const { return fs::path(folder_) / "journal"; }
-  std::uintmax_t on_disk() const {
+  std::uintmax_t disk_bytes() const {
     std::uintmax_t sum = 0;
     for (const auto& entry : fs::directory_iterator(folder_)) sum += (entry.file_size() + 511) / 512 * 512;
     return sum;
@@ -39,7 +40,7 @@
   std::string folder_;
 };
 
-TEST_F(JournalTest, GivesBackWhatIsOwedInTheOrderTaken) {
+TEST_F(JournalTest, RestoresPendingMessagesInTheOrderOfAcceptance) {
   {
     Journal journal(folder_, 3'000'000);
     for (const char* id : {"b", "a", "c"}) journal.accept(message(id));
@@ -59,7 +60,7 @@
   EXPECT_EQ(messages[0].deadline.wall, WallTime(5s));
   ASSERT_EQ(messages[0].attempts.size(), 2U);
   EXPECT_FALSE(messages[0].attempts[0].may_have_run);
-  EXPECT_TRUE(messages[0].attempts[1].may_have_run) << "its outcome was lost with the process";
+  EXPECT_TRUE(messages[0].attempts[1].may_have_run) << "the outcome was lost with the process";
   EXPECT_EQ(messages[0].attempts[1].host, "h2");
   const auto notices = journal.take_notices();
   ASSERT_EQ(notices.size(), 1U);
@@ -68,8 +69,7 @@
   EXPECT_EQ(notices[0].retry_in, 250ms);
 }
 
-// A kill may cut a write at any byte: what was whole before it must be read, and what is appended later too.
-// Both clocks come back; of what an earlier program wrote the time of day does.
+// A timestamp is restored with both clocks; from the record of an older version, only the wall clock is.
 TEST_F(JournalTest, MomentsComeBackWholeAndThoseOfAnEarlierProgramAsFarAsTheyGo) {
   const Moment at{WallTime(5s), 77, vetchhinge::Time(9s)};
   {
@@ -113,7 +113,7 @@
   EXPECT_TRUE(messages[0].attempts[2].may_have_run);
 }
 
-// An earlier program would cut off the records that it does not know: it has to find out first.
+// An older version would truncate records that it can't parse: it has to read the newer format number first.
 TEST_F(JournalTest, AFileOfAnEarlierProgramTellsTheNewFormatBeforeNewRecords) {
   std::ofstream(file()) << RecordWriter(RecordKind::format).number(2).record();
   {
@@ -124,8 +124,8 @@
   EXPECT_EQ(view_journal(folder_).format, kJournalFormat);
 }
 
-// Guards against an end that a flush has kept and a start does not find: the file had the message, and its
-// hand-back had not reached it.
+// Guards against a completion that is lost at the next start although a flush succeeded. It happened when the
+// file held the message, and its hand-back was still buffered when the message was completed.
 TEST_F(JournalTest, AnEndBehindAHandBackThatWasNotWrittenIsKept) {
   {
     Journal journal(folder_, 1'000'000);
@@ -139,9 +139,9 @@
   EXPECT_TRUE(Journal(folder_, 1'000'000).take_messages().empty());
 }
 
-// Guards against a compaction that forgets what has ended, so that the same request runs again after a
-// restart.
-TEST_F(JournalTest, EndsAreRememberedOverACompactionAndAStart) {
+// Guards against a compaction that drops the outcomes of completed messages, so that a repeated request runs
+// again after a restart.
+TEST_F(JournalTest, CompletedMessagesSurviveACompactionAndAStart) {
   const Moment until = read_clocks() + 60s;
   {
     Journal journal(folder_, 1'000'000);
@@ -153,14 +153,14 @@
     journal.complete_with_notice({"back", true, 250ms}, Ended{Ended::Told::refused, 250ms, 4, until});
     journal.settle_notice("back");
     ASSERT_TRUE(journal.flush());
-    for (int i = 0; i < 20; ++i) {  // more than a file may hold that is not worth it
+    for (int i = 0; i < 20; ++i) {  // enough for a compaction
       journal.accept(message("m", 20'000));
       ASSERT_TRUE(journal.flush());
       journal.complete("m");
     }
     ASSERT_TRUE(journal.flush());
   }
-  EXPECT_FALSE(view_journal(folder_).records.contains("notice_settled")) << "it was not compacted";
+  EXPECT_FALSE(view_journal(folder_).records.contains("notice_settled")) << "the journal was not compacted";
   Journal journal(folder_, 1'000'000);
   const auto expect = [&](const char* id, Ended::Told told, std::uint64_t content) {
     const Ended* const ended = journal.find_completed(id);
@@ -178,30 +178,33 @@
   EXPECT_EQ(journal.take_notices().size(), 1U);
 }
 
-// Guards against a memory that takes the room of what is owed: the oldest go, and nothing is refused.
-TEST_F(JournalTest, EndsAreForgottenBeforeTheyTakeRoomFromWhatIsOwed) {
-  constexpr std::uint64_t kMost = 300'000, kEnds = 10'000;
+// Guards against completed messages that take space from pending ones: the oldest are evicted, and no message
+// is refused.
+TEST_F(JournalTest, CompletedMessagesAreEvictedBeforeTheyTakeRoomFromPendingOnes) {
+  constexpr std::uint64_t kMaxBytes = 300'000, kCompleted = 10'000;
   const Moment until = read_clocks() + 60s;
   {
-    Journal journal(folder_, kMost);
-    for (std::uint64_t i = 0; i < kEnds; ++i) {
+    Journal journal(folder_, kMaxBytes);
+    for (std::uint64_t i = 0; i < kCompleted; ++i) {
       const std::string id = std::to_string(i);
       ASSERT_TRUE(journal.has_room(100)) << i;
       journal.accept(message(id));
       ASSERT_TRUE(journal.flush()) << i;
       journal.complete(id, {Ended::Told::taken, {}, i, until});
-      ASSERT_LE(on_disk(), kMost);
+      ASSERT_LE(disk_bytes(), kMaxBytes);
     }
     ASSERT_TRUE(journal.flush());
-    EXPECT_TRUE(journal.find_completed(std::to_string(kEnds - EndedMessages::kMost)));
-    EXPECT_FALSE(journal.find_completed(std::to_string(kEnds - EndedMessages::kMost - 1)));
+    EXPECT_TRUE(journal.find_completed(std::to_string(kCompleted - EndedMessages::kMost)));
+    EXPECT_FALSE(journal.find_completed(std::to_string(kCompleted - EndedMessages::kMost - 1)));
   }
-  const Journal journal(folder_, kMost);
-  constexpr std::uint64_t kLeft = kMost / 32 / kEndRecord;
-  for (std::uint64_t i = kEnds - kLeft; i < kEnds; ++i)
+  const Journal journal(folder_, kMaxBytes);
+  constexpr std::uint64_t kLeft = kMaxBytes / 32 / kCompletionRecordBytes;
+  for (std::uint64_t i = kCompleted - kLeft; i < kCompleted; ++i)
     EXPECT_TRUE(journal.find_completed(std::to_string(i)));
 }
 
+// A kill may truncate a write at any byte. Records that were complete before it must be read, and so must
+// those appended after the next start.
 TEST_F(JournalTest, ATornTailIsCutAtAnyByte) {
   std::uintmax_t whole = 0;
   {
@@ -246,10 +249,10 @@
 }
 
 TEST_F(JournalTest, OldAndNewFileTogetherStayUnderTheLimit) {
-  constexpr std::uint64_t kMost = 200'000;
+  constexpr std::uint64_t kMaxBytes = 200'000;
   std::uintmax_t most_seen = 0;
   {
-    Journal journal(folder_, kMost);
+    Journal journal(folder_, kMaxBytes);
     journal.accept(message("long-lived", 1000));
     for (int i = 0; i < 3000; ++i) {
       const std::string id = std::to_string(i);
@@ -258,11 +261,11 @@
       ASSERT_TRUE(journal.flush());
       journal.complete(id);
       ASSERT_TRUE(journal.flush());
-      most_seen = std::max(most_seen, on_disk());
+      most_seen = std::max(most_seen, disk_bytes());
     }
   }
-  EXPECT_LE(most_seen + 2048, kMost);  // the new file holds little more than the long-lived message
-  Journal journal(folder_, kMost);
+  EXPECT_LE(most_seen + 2048, kMaxBytes);  // the new file holds little more than the long-lived message
+  Journal journal(folder_, kMaxBytes);
   const auto messages = journal.take_messages();
   ASSERT_EQ(messages.size(), 1U);
   EXPECT_EQ(messages[0].id, "long-lived");
@@ -277,13 +280,13 @@
     ASSERT_LT(taken, 25) << "never full";
   }
   EXPECT_GT(taken, 3);
-  EXPECT_LE(on_disk(), 100'000U);
+  EXPECT_LE(disk_bytes(), 100'000U);
   for (int i = 0; i < taken; ++i) journal.complete(std::to_string(i));
   ASSERT_TRUE(journal.flush());
   EXPECT_TRUE(journal.has_room(4000));
 }
 
-TEST_F(JournalTest, BansOutliveTheProcessAndCompaction) {
+TEST_F(JournalTest, DisabledHostsOutliveTheProcessAndCompaction) {
   const std::set<std::string> left = {"s-2"};
   {
     Journal journal(folder_, 3'000'000);
@@ -296,43 +299,44 @@
       journal.complete(std::to_string(i));
       ASSERT_TRUE(journal.flush());
     }
-    ASSERT_LT(on_disk(), 200'000U) << "it was compacted";
+    ASSERT_LT(disk_bytes(), 200'000U) << "the journal was not compacted";
   }
   EXPECT_EQ(Journal(folder_, 3'000'000).disabled_hosts(), left);
 }
 
-// What it costs to read one back, in seconds of the processor: so many messages owed, each tried, and as many
-// that are over.
-double reading_costs(std::size_t messages) {
+// Returns the CPU time in seconds to replay a journal with `messages` pending messages, each with an attempt,
+// and as many completed ones.
+double replay_seconds(std::size_t messages) {
   valedrum::recovery::FakeDisk disk;
   const auto durability = valedrum::recovery::Durability::process;
   {
     Journal journal(disk, 1'000'000'000, durability);
     for (std::size_t i = 0; i < messages; ++i) {
-      for (const std::string& id : {"owed-" + std::to_string(i), "over-" + std::to_string(i)}) {
+      for (const std::string& id : {"pending-" + std::to_string(i), "completed-" + std::to_string(i)}) {
         journal.accept({id, "refund", 7, "", "hello", Moment{WallTime(5s), 0, {}}, {}});
         journal.record_attempt(id, 0, {"h", "z", Moment{WallTime(1s), 0, {}}});
       }
-      journal.complete("over-" + std::to_string(i));
+      journal.complete("completed-" + std::to_string(i));
     }
     EXPECT_TRUE(journal.flush());
   }
   const std::clock_t start = std::clock();
   Journal journal(disk, 1'000'000'000, durability);
-  const auto owed = journal.take_messages();
+  const auto pending = journal.take_messages();
   const std::clock_t end = std::clock();
-  EXPECT_EQ(owed.size(), messages);
-  EXPECT_EQ(owed.back().id, "owed-" + std::to_string(messages - 1));
+  EXPECT_EQ(pending.size(), messages);
+  EXPECT_EQ(pending.back().id, "pending-" + std::to_string(messages - 1));
   return static_cast<double>(end - start) / CLOCKS_PER_SEC;
 }
 
-// A process that is started again reads it before it serves: the cost of a record must not grow with what is
-// owed. By ratios, so that it holds on any machine; each record costing as much as is owed gives over 100.
+// A restarted process replays the journal before it serves, so the cost of a record must not grow with the
+// number of pending messages. Compares times by their ratio, which holds on any machine: a cost per record
+// proportional to the pending messages gives a ratio of more than 100.
 TEST(JournalCost, ReadingItGrowsNoFasterThanItsSize) {
   constexpr std::size_t kFew = 1000, kMany = 16;
-  double few = reading_costs(kFew);
-  for (int i = 0; i < 4; ++i) few = std::min(few, reading_costs(kFew));
-  EXPECT_LT(reading_costs(kMany * kFew), 4 * kMany * few);
+  double few = replay_seconds(kFew);
+  for (int i = 0; i < 4; ++i) few = std::min(few, replay_seconds(kFew));
+  EXPECT_LT(replay_seconds(kMany * kFew), 4 * kMany * few);
 }
 
 }  // namespace
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -273,7 +273,7 @@
     for (ConfigReader* to : {&read, &passed}) {
       to->feed(std::string_view(text).substr(0, cut));
       to->feed(std::string_view(text).substr(cut));
-      EXPECT_EQ(to->rest(), rest);
+      EXPECT_EQ(to->json_without_hosts(), rest);
     }
     const WholeList list = read.take_known_hosts();
     EXPECT_EQ(list.version, 41);
--- a/tests/relay_commands.sh
+++ b/tests/relay_commands.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The relay's command line as its users meet it, against a relay that the lab's day has left its folder of.
+# Tests the relay's command line on the configuration and state folder that a simulated day has left.
 set -eu
 relay=$1
 lab=$2
@@ -25,7 +25,7 @@
   [ "$(wc -l <err)" = 1 ] || fail "$*: $(cat err)"
 }
 
-# The pages are made from the same source as --help.
+# The pages are generated from the same source as --help.
 {
   sed -n '1,/^<!-- below: made by --markdown -->$/p' "$root/docs/cli.md"
   echo
@@ -44,7 +44,7 @@
   "$relay" $command --help >out || fail "$command --help"
 done
 
-# A day on sockets leaves a configuration and a journal.
+# A simulated day on sockets leaves a configuration and a journal.
 printf 'version = 1\nname = "left"\nseconds = 3\n[fleet]\nendpoints = 4\n[[fault]]\nkind = "hung"\nat = 1\nlasts = 60\npart = 1\n' >day.toml
 "$lab" drive day.toml --relays 2 --program "$relay" --folder "$work/kept" >out 2>err || [ $? = 1 ] || fail "drive: $(cat out err)"
 config=$work/kept/relay-0/config.json
@@ -92,7 +92,7 @@
 refused status
 refused status --admin nonsense
 
-# Nobody at that address; then a relay with a second address.
+# No relay at that address; then a running relay with an admin address.
 status_of 3 status --admin 127.0.0.1:9
 if [ -n "$(command -v timeout)" ]; then
   address=127.$((64 + $$ / 16384 % 128)).$(($$ / 64 % 256)).$(($$ % 64 + 1))
