--- a/membership/membership.cpp
+++ b/membership/membership.cpp
@@ -12,7 +12,10 @@
 
 namespace {
 
-constexpr unsigned kSpread = 3;  // times log2 of the members, that each change is passed on
+// Each update is transmitted this many times log2(members); the retransmit multiplier of SWIM.
+constexpr unsigned kRetransmitMultiplier = 3;
+// A drop reason is logged at most this often.
+constexpr auto kDropLogInterval = 1min;
 
 }  // namespace
 
@@ -25,208 +28,212 @@
   if (self_.zone.size() > kMaxZoneBytes) throw std::invalid_argument("zone: 32 bytes at most");
   if (!self_.address) throw std::invalid_argument("advertise: no address");
   self_.state = State::joining;
-  quiet_nonce_ = draw();
+  untracked_nonce_ = random_number();
   reseed(now, settings_.seeds);
-  // Anywhere within the first period: many may be started at one moment.
-  const auto anywhere = [&] {
-    return now + Duration(below(static_cast<std::size_t>(settings_.probe_interval.count())));
+  // Spread over the first period, because many members may be started at once.
+  const auto within_first_period = [&] {
+    return now + Duration(random_below(static_cast<std::size_t>(settings_.probe_interval.count())));
   };
-  contact_at_ = seeds_left_.empty() ? now : anywhere();
-  contact_pause_ = settings_.probe_interval * 2;
-  probe_at_ = anywhere();
-  planned_ = next_wake();
+  contact_at_ = untried_seeds_.empty() ? now : within_first_period();
+  contact_interval_ = settings_.probe_interval * 2;
+  probe_at_ = within_first_period();
+  expected_wake_ = next_wake();
 }
 
-std::uint32_t Membership::below(std::size_t n) {
+std::uint32_t Membership::random_below(std::size_t n) {
   return boost::random::uniform_int_distribution<std::uint32_t>(0,
                                                                 static_cast<std::uint32_t>(n - 1))(engine_);
 }
 
-Duration Membership::jittered(Duration span, double part) {
+Duration Membership::jittered(Duration duration, double part) {
   const double unit = boost::random::uniform_01<double>()(engine_);
-  return Duration(std::llround(static_cast<double>(span.count()) * (1 - part + 2 * part * unit)));
+  return Duration(std::llround(static_cast<double>(duration.count()) * (1 - part + 2 * part * unit)));
 }
 
-double Membership::factor() const {
-  return settings_.disabled_safeguard == DisabledSafeguard::local_health ? 1 : 1.0 + doubt_;
+double Membership::timeout_multiplier() const {
+  return settings_.disabled_safeguard == DisabledSafeguard::local_health ? 1 : 1.0 + local_health_score_;
 }
 
-unsigned Membership::spread() const {
-  return kSpread * static_cast<unsigned>(std::ceil(std::log2(static_cast<double>(table_.live_count() + 2))));
+unsigned Membership::retransmit_limit() const {
+  return kRetransmitMultiplier *
+         static_cast<unsigned>(std::ceil(std::log2(static_cast<double>(table_.live_count() + 2))));
 }
 
-void Membership::doubt_by(int by) {
-  doubt_ = static_cast<unsigned>(
-      std::clamp(static_cast<int>(doubt_) + by, 0, static_cast<int>(kMaxLocalHealthScore)));
+void Membership::adjust_local_health(int by) {
+  local_health_score_ = static_cast<unsigned>(
+      std::clamp(static_cast<int>(local_health_score_) + by, 0, static_cast<int>(kMaxLocalHealthScore)));
 }
 
-std::uint64_t Membership::self_digest() const { return yielded_ || left_ ? 0 : Table::hash_of(self_); }
+std::uint64_t Membership::self_digest() const { return observer_ || left_ ? 0 : Table::hash_of(self_); }
 
-void Membership::say(const std::string& name, std::string what) {
-  changes_.push_back({name, std::move(what)});
+void Membership::report(const std::string& member, std::string description) {
+  view_events_.push_back({member, std::move(description)});
 }
 
-void Membership::changed(Time now) {
+void Membership::mark_changed(Time now) {
   ++version_;
   changed_at_ = now;
 }
 
-void Membership::dropped(Time now, DropReason why) {
-  const auto kind = static_cast<std::size_t>(why);
-  ++counters_.dropped[kind];
-  if (why == DropReason::stray) return;  // what is late or comes twice is nothing to tell
-  if (drop_told_[kind] != Time{} && now < drop_told_[kind] + 1min) return;
-  drop_told_[kind] = now;
-  say("", "a datagram or frame was not taken: " + std::string(name_of(why)));
+void Membership::count_drop(Time now, DropReason reason) {
+  const auto index = static_cast<std::size_t>(reason);
+  ++counters_.dropped[index];
+  if (reason == DropReason::stray) return;  // late and repeated messages are normal
+  if (drop_logged_at_[index] != Time{} && now < drop_logged_at_[index] + kDropLogInterval) return;
+  drop_logged_at_[index] = now;
+  report("", "a datagram or frame was not taken: " + std::string(name_of(reason)));
 }
 
-// ------------------------------------------------------------------------------------------ time
+// ---------------------------------------------------------------------------------------- timers
 
-// Every call begins here: one that comes late says that this member itself did not run.
-void Membership::notice(Time now) {
-  if (planned_ != Time::max() && now > planned_ + settings_.probe_interval / 2) stalled(now, now - planned_);
+// Begins every public call. A call well after the expected wake-up means that this process itself did not
+// run.
+void Membership::detect_stall(Time now) {
+  if (expected_wake_ != Time::max() && now > expected_wake_ + settings_.probe_interval / 2)
+    on_stall(now, now - expected_wake_);
 }
 
-void Membership::stalled(Time now, Duration late) {
+void Membership::on_stall(Time now, Duration late) {
   ++counters_.stalls;
   if (settings_.disabled_safeguard == DisabledSafeguard::local_health) return;
-  // Answers may wait unread, and nobody could be heard: nothing of it is held against the others.
-  doubt_by(1 + static_cast<int>(std::min<std::int64_t>(late / settings_.probe_interval, 2)));
+  // Answers may be waiting unread, so the pause must not count against other members.
+  adjust_local_health(1 + static_cast<int>(std::min<std::int64_t>(late / settings_.probe_interval, 2)));
   probe_.reset();
   probe_at_ = now + jittered(settings_.probe_interval / 2, 1);
-  relayed_.clear();
+  relayed_probes_.clear();
   for (const std::string& name : table_.suspect_names()) table_.find(name)->state_since += late;
   if (late < settings_.tombstone_retention / 2) return;
-  // What it holds may be forgotten by the others: as after a start.
+  // Other members may have forgotten by now what this one still holds, so it joins as after a start.
   std::vector<std::string> names;
   for (const auto& [name, entry] : table_.entries()) {
-    if (!is_gone(entry.record.state)) seeds_left_.push_back(entry.record.address);
+    if (!is_gone(entry.record.state)) untried_seeds_.push_back(entry.record.address);
     names.push_back(name);
   }
   for (const std::string& name : names) table_.erase(name);
-  verify_.clear();
+  unnotified_suspects_.clear();
   joined_ = false;
   self_.state = State::joining;
   contact_at_ = now;
-  changed(now);
-  say("", "away for " + std::to_string(late / 1s) + " s: joins anew");
+  mark_changed(now);
+  report("", "away for " + std::to_string(late / 1s) + " s: rejoins");
 }
 
 void Membership::wake(Time now) {
-  notice(now);
+  detect_stall(now);
   if (left_) return;
-  if (!yielded_) {
-    probe(now);
-    relayed_due(now);
-    verify(now);
-    judge_suspects(now);
-    gossip(now);
+  if (!observer_) {
+    advance_probe(now);
+    advance_relayed_probes(now);
+    notify_suspects(now);
+    expire_suspicions(now);
+    send_gossip(now);
   }
-  check_claim(now);
-  if (now >= contact_at_) contact(now);
-  if (now >= forget_at_) forget(now);
-  finish(now);
+  check_name_claim(now);
+  if (now >= contact_at_) contact_peers(now);
+  if (now >= expire_tombstones_at_) expire_tombstones(now);
+  finish_call(now);
 }
 
-void Membership::finish(Time now) {
+void Membership::finish_call(Time now) {
   if (gossip_at_ == Time::max() && table_.live_count() > 0 &&
-      (table_.has_pending_updates() || self_sent_ < spread())) {
+      (table_.has_pending_updates() || self_transmissions_ < retransmit_limit())) {
     gossip_at_ = now + jittered(settings_.probe_interval / 10, 1);
   }
-  if (verify_at_ == Time::max() && !verify_.empty()) verify_at_ = now;
-  if (forget_at_ == Time::max() && table_.gone_count() > 0)
-    forget_at_ = now + settings_.tombstone_retention / 8;
-  look_at_reach(now);
-  // What was heard may make something due at once, even before now: that is not late yet.
-  planned_ = std::max(now, next_wake());
+  if (notify_suspects_at_ == Time::max() && !unnotified_suspects_.empty()) notify_suspects_at_ = now;
+  if (expire_tombstones_at_ == Time::max() && table_.gone_count() > 0)
+    expire_tombstones_at_ = now + settings_.tombstone_retention / 8;
+  update_reachability(now);
+  // A received message may make a timer due at or before `now`; that is no delay of this process.
+  expected_wake_ = std::max(now, next_wake());
 }
 
 Time Membership::next_wake() const {
   if (left_) return Time::max();
-  Time at = std::min(contact_at_, forget_at_);
-  if (claim_) at = std::min(at, claim_->next);
-  if (self_.conflicting_address) at = std::min(at, rival_heard_ + settings_.max_reconnect_interval * 3);
-  if (yielded_) return at;
-  at = std::min(at, probe_ ? std::min(probe_->others_at, probe_->ends_at) : probe_at_);
-  at = std::min({at, gossip_at_, verify_at_});
-  for (const auto& [nonce, r] : relayed_) at = std::min(at, r.nacked ? r.ends_at : r.nack_at);
+  Time at = std::min(contact_at_, expire_tombstones_at_);
+  if (name_claim_) at = std::min(at, name_claim_->next_try);
+  if (self_.conflicting_address) at = std::min(at, conflict_heard_at_ + settings_.max_reconnect_interval * 3);
+  if (observer_) return at;
+  at = std::min(at, probe_ ? std::min(probe_->indirect_at, probe_->ends_at) : probe_at_);
+  at = std::min({at, gossip_at_, notify_suspects_at_});
+  for (const auto& [nonce, probe] : relayed_probes_)
+    at = std::min(at, probe.nacked ? probe.ends_at : probe.nack_at);
   for (const std::string& name : table_.suspect_names()) {
-    const Table::Entry& e = *table_.find(name);
-    at = std::min(at, e.state_since + patience(e));
+    const Table::Entry& entry = *table_.find(name);
+    at = std::min(at, entry.state_since + suspicion_timeout(entry));
   }
   return at;
 }
 
-// ------------------------------------------------------------------------------------ what others ask
+// ----------------------------------------------------------------------------------- state of the view
 
-void Membership::look_at_reach(Time now) {
-  const Reachability r = reachability(now);
-  const auto keep = [now](std::optional<Time>& since, bool is) {
-    if (!is) since.reset();
-    if (is && !since) since = now;
+void Membership::update_reachability(Time now) {
+  const Reachability current = reachability(now);
+  const auto track = [now](std::optional<Time>& since, bool holds) {
+    if (!holds) since.reset();
+    if (holds && !since) since = now;
   };
-  keep(lessened_, r.reachable < r.known);
-  keep(minority_, r.known > 1 && r.reachable * 2 <= r.known);
+  track(reduced_since_, current.reachable < current.known);
+  track(minority_since_, current.known > 1 && current.reachable * 2 <= current.known);
 }
 
 Reachability Membership::reachability(Time) const {
-  Reachability r;
-  r.reachable = table_.live_count() - table_.suspect_count() + 1;
-  r.known = table_.live_count() + table_.dead_count() + 1;
-  r.reduced_since = lessened_;
-  r.minority_since = minority_;
-  return r;
+  Reachability current;
+  current.reachable = table_.live_count() - table_.suspect_count() + 1;
+  current.known = table_.live_count() + table_.dead_count() + 1;
+  current.reduced_since = reduced_since_;
+  current.minority_since = minority_since_;
+  return current;
 }
 
-std::vector<Record> Membership::healthy_members(const std::function<bool(const Record&)>& wanted) const {
+std::vector<Record> Membership::healthy_members(const std::function<bool(const Record&)>& filter) const {
   std::vector<Record> all;
-  for (const auto& [name, e] : table_.entries()) {
-    if (e.record.state == State::alive && !e.record.conflicting_address && wanted(e.record))
-      all.push_back(e.record);
+  for (const auto& [name, entry] : table_.entries()) {
+    if (entry.record.state == State::alive && !entry.record.conflicting_address && filter(entry.record))
+      all.push_back(entry.record);
   }
   return all;
 }
 
 void Membership::publish(Time now, std::uint32_t version, std::string bytes) {
   if (version == 0 || bytes.size() > kMaxPublishedBytes) throw std::invalid_argument("published: too large");
-  notice(now);
+  detect_stall(now);
   if (self_.published_version == version && self_.published == bytes) return;
   self_.published_version = version;
   self_.published = std::move(bytes);
   ++self_.stamp.revision;
-  announce(now);
-  finish(now);
+  announce_self(now);
+  finish_call(now);
 }
 
 void Membership::leave(Time now) {
   if (left_) return;
-  if (joined_ && !yielded_) {
+  if (joined_ && !observer_) {
     self_.state = State::left;
     ++self_.stamp.revision;
-    self_sent_ = 0;
-    for (const Table::Entry* e : some_live(spread(), {})) {
-      send(now, e->record.address, message(MessageKind::gossip, {}, 0), settings_.max_datagram_bytes,
+    self_transmissions_ = 0;
+    for (const Table::Entry* entry : random_live(retransmit_limit(), {})) {
+      send(now, entry->record.address, make_message(MessageKind::gossip, {}, 0), settings_.max_datagram_bytes,
            nullptr);
     }
   }
   left_ = true;
-  planned_ = next_wake();
+  expected_wake_ = next_wake();
 }
 
 void Membership::reseed(Time now, std::vector<Address> seeds) {
   std::erase(seeds, self_.address);
   settings_.seeds = std::move(seeds);
-  if (!joined_) seeds_left_ = settings_.seeds;
-  if (joined_) plan_contact(now, true);
+  if (!joined_) untried_seeds_ = settings_.seeds;
+  if (joined_) schedule_contact(now, true);
 }
 
-void Membership::join(Time now, const char* how) {
+void Membership::complete_join(Time now, const char* reason) {
   joined_ = true;
   self_.state = State::alive;
   ++self_.stamp.revision;
-  announce(now);
-  say(self_.name, "alive, incarnation " + std::to_string(self_.stamp.incarnation) + ": " + how);
-  plan_contact(now, true);
+  announce_self(now);
+  report(self_.name, "alive, incarnation " + std::to_string(self_.stamp.incarnation) + ": " + reason);
+  schedule_contact(now, true);
 }
 
 }  // namespace valedrum::membership
--- a/membership/wire.cpp
+++ b/membership/wire.cpp
@@ -10,118 +10,120 @@
 namespace {
 
 constexpr std::string_view kMagic = "VF";
-constexpr std::size_t kHead = 4 + 8;  // magic, version, kind; checksum
+constexpr std::size_t kHeaderBytes = 4 + 8;  // magic, version and kind; checksum of the body
 
-class Out {
+class Writer {
  public:
-  void byte(std::uint8_t value) { bytes_ += static_cast<char>(value); }
-  void number(std::uint64_t value) {  // seven bits a byte
+  void byte(std::uint8_t value) { bytes += static_cast<char>(value); }
+  void varint(std::uint64_t value) {  // LEB128: seven bits per byte
     for (; value >= 0x80; value >>= 7) byte(static_cast<std::uint8_t>(value | 0x80));
     byte(static_cast<std::uint8_t>(value));
   }
-  void fixed(std::uint64_t value) {
+  void fixed64(std::uint64_t value) {
     for (int shift = 0; shift < 64; shift += 8) byte(static_cast<std::uint8_t>(value >> shift));
   }
-  void text(std::string_view value) {
-    number(value.size());
-    bytes_ += value;
+  void string(std::string_view value) {
+    varint(value.size());
+    bytes += value;
   }
-  void address(const Address& a) {
-    number(a.port);
-    if (a) number(a.ip);
+  void address(const Address& address) {
+    varint(address.port);
+    if (address) varint(address.ip);
   }
-  std::string bytes_;
+  std::string bytes;
 };
 
-class In {
+// Decodes a message. After a malformed field `valid` stays false, and the result must be discarded.
+class Reader {
  public:
-  explicit In(std::string_view bytes) : rest_(bytes) {}
+  explicit Reader(std::string_view bytes) : remaining_(bytes) {}
   std::uint8_t byte() {
-    if (rest_.empty()) {
-      good = false;
+    if (remaining_.empty()) {
+      valid = false;
       return 0;
     }
-    const auto value = static_cast<std::uint8_t>(rest_.front());
-    rest_.remove_prefix(1);
+    const auto value = static_cast<std::uint8_t>(remaining_.front());
+    remaining_.remove_prefix(1);
     return value;
   }
-  std::uint64_t number(std::uint64_t most = ~0ULL) {
+  std::uint64_t varint(std::uint64_t max_value = ~0ULL) {
     std::uint64_t value = 0;
     for (int shift = 0;; shift += 7) {
       const std::uint8_t b = byte();
-      if (shift > 63 || (shift == 63 && b > 1)) good = false;
-      if (!good) return 0;
+      if (shift > 63 || (shift == 63 && b > 1)) valid = false;
+      if (!valid) return 0;
       value |= static_cast<std::uint64_t>(b & 0x7f) << shift;
       if (b < 0x80) break;
     }
-    if (value > most) good = false;
-    return good ? value : 0;
+    if (value > max_value) valid = false;
+    return valid ? value : 0;
   }
-  std::uint64_t fixed() {
+  std::uint64_t fixed64() {
     std::uint64_t value = 0;
     for (int shift = 0; shift < 64; shift += 8) value |= static_cast<std::uint64_t>(byte()) << shift;
     return value;
   }
-  std::string text(std::size_t most) {
-    const std::uint64_t size = number(most);
-    if (size > rest_.size()) good = false;
-    if (!good) return {};
-    std::string value(rest_.substr(0, size));
-    rest_.remove_prefix(size);
+  std::string string(std::size_t max_size) {
+    const std::uint64_t size = varint(max_size);
+    if (size > remaining_.size()) valid = false;
+    if (!valid) return {};
+    std::string value(remaining_.substr(0, size));
+    remaining_.remove_prefix(size);
     return value;
   }
   Address address() {
-    Address a;
-    a.port = static_cast<std::uint16_t>(number(0xffff));
-    if (a) a.ip = static_cast<std::uint32_t>(number(0xffffffff));
-    return a;
+    Address address;
+    address.port = static_cast<std::uint16_t>(varint(0xffff));
+    if (address) address.ip = static_cast<std::uint32_t>(varint(0xffffffff));
+    return address;
   }
-  bool empty() const { return rest_.empty(); }
-  bool good = true;
+  bool empty() const { return remaining_.empty(); }
+  bool valid = true;
 
  private:
-  std::string_view rest_;
+  std::string_view remaining_;
 };
 
-Stamp read_stamp(In& in) {
-  Stamp s;
-  s.incarnation = in.number(kMaxIncarnation);
-  s.revision = static_cast<std::uint32_t>(in.number(0xffffffff));
-  return s;
+Stamp read_stamp(Reader& reader) {
+  Stamp stamp;
+  stamp.incarnation = reader.varint(kMaxIncarnation);
+  stamp.revision = static_cast<std::uint32_t>(reader.varint(0xffffffff));
+  return stamp;
 }
 
-void write(Out& out, const Stamp& s) {
-  out.number(s.incarnation);
-  out.number(s.revision);
+void write(Writer& writer, const Stamp& stamp) {
+  writer.varint(stamp.incarnation);
+  writer.varint(stamp.revision);
 }
 
-Record read_record(In& in) {
-  Record r;
-  r.state = static_cast<State>(in.byte());
-  if (r.state > State::left) in.good = false;
-  r.name = in.text(kMaxNameBytes);
-  r.machine = in.text(kMaxNameBytes);
-  r.zone = in.text(kMaxZoneBytes);
-  r.instance = in.fixed();
-  r.stamp = read_stamp(in);
-  r.address = in.address();
-  r.conflicting_address = in.address();
-  r.published_version = static_cast<std::uint32_t>(in.number(0xffffffff));
-  if (r.published_version > 0) r.published = in.text(kMaxPublishedBytes);
-  if (r.state == State::suspect || r.state == State::dead) {
-    for (std::uint64_t n = in.number(kMaxAccusers); n > 0 && in.good; --n)
-      r.accusers.push_back(in.text(kMaxNameBytes));
+Record read_record(Reader& reader) {
+  Record record;
+  record.state = static_cast<State>(reader.byte());
+  if (record.state > State::left) reader.valid = false;
+  record.name = reader.string(kMaxNameBytes);
+  record.machine = reader.string(kMaxNameBytes);
+  record.zone = reader.string(kMaxZoneBytes);
+  record.instance = reader.fixed64();
+  record.stamp = read_stamp(reader);
+  record.address = reader.address();
+  record.conflicting_address = reader.address();
+  record.published_version = static_cast<std::uint32_t>(reader.varint(0xffffffff));
+  if (record.published_version > 0) record.published = reader.string(kMaxPublishedBytes);
+  if (record.state == State::suspect || record.state == State::dead) {
+    for (std::uint64_t n = reader.varint(kMaxAccusers); n > 0 && reader.valid; --n)
+      record.accusers.push_back(reader.string(kMaxNameBytes));
   }
-  if (is_gone(r.state)) r.gone_for = std::chrono::seconds(in.number(1U << 30));
-  if (r.name.empty() || !r.address) in.good = false;
-  return r;
+  if (is_gone(record.state)) record.gone_for = std::chrono::seconds(reader.varint(1U << 30));
+  if (record.name.empty() || !record.address) reader.valid = false;
+  return record;
 }
 
 }  // namespace
 
-std::string to_text(const Address& a) {
-  return std::to_string(a.ip >> 24) + "." + std::to_string(a.ip >> 16 & 255) + "." +
-         std::to_string(a.ip >> 8 & 255) + "." + std::to_string(a.ip & 255) + ":" + std::to_string(a.port);
+std::string to_text(const Address& address) {
+  return std::to_string(address.ip >> 24) + "." + std::to_string(address.ip >> 16 & 255) + "." +
+         std::to_string(address.ip >> 8 & 255) + "." + std::to_string(address.ip & 255) + ":" +
+         std::to_string(address.port);
 }
 
 std::string_view name_of(State state) {
@@ -129,104 +131,109 @@
   return names[static_cast<std::size_t>(state)];
 }
 
-std::string_view name_of(DropReason drop) {
+std::string_view name_of(DropReason reason) {
   constexpr std::string_view names[] = {"foreign",     "newer version", "damaged", "oversized",
                                         "other fleet", "misdirected",   "stray"};
-  return names[static_cast<std::size_t>(drop)];
+  return names[static_cast<std::size_t>(reason)];
 }
 
-void check(const Settings& s) {
+void check(const Settings& settings) {
   using namespace std::chrono_literals;
-  const auto refuse = [](bool ok, const char* what) {
-    if (!ok) throw std::invalid_argument(what);
+  const auto require = [](bool ok, const char* message) {
+    if (!ok) throw std::invalid_argument(message);
   };
-  refuse(!s.fleet.empty() && s.fleet.size() <= kMaxNameBytes, "name: must have 1 to 64 bytes");
-  refuse(s.probe_interval >= 50ms && s.probe_interval <= 60s, "probe_ms: must lie from 50 to 60000");
-  refuse(s.ack_timeout >= 5ms && s.ack_timeout <= s.probe_interval * 2 / 3,
-         "ack_ms: must lie from 5 to two thirds of probe_ms");
-  refuse(s.indirect_probes <= 16, "indirect: must be 16 at most");
-  refuse(s.confirmations < kMaxAccusers, "confirmations: must be 2 at most");
-  refuse(s.tombstone_retention >= s.probe_interval * 60 && s.tombstone_retention <= 168h,
-         "tombstone_s: must lie from 60 probes to a week");
-  refuse(s.max_reconnect_interval >= s.probe_interval && s.max_reconnect_interval <= 1h,
-         "reconnect_s: must lie from one probe to an hour");
-  refuse(s.max_datagram_bytes >= 800 && s.max_datagram_bytes <= 60000,
-         "datagram: must lie from 800 to 60000 bytes");
+  require(!settings.fleet.empty() && settings.fleet.size() <= kMaxNameBytes, "name: must have 1 to 64 bytes");
+  require(settings.probe_interval >= 50ms && settings.probe_interval <= 60s,
+          "probe_ms: must lie from 50 to 60000");
+  require(settings.ack_timeout >= 5ms && settings.ack_timeout <= settings.probe_interval * 2 / 3,
+          "ack_ms: must lie from 5 to two thirds of probe_ms");
+  require(settings.indirect_probes <= 16, "indirect: must be 16 at most");
+  require(settings.confirmations < kMaxAccusers, "confirmations: must be 2 at most");
+  require(
+      settings.tombstone_retention >= settings.probe_interval * 60 && settings.tombstone_retention <= 168h,
+      "tombstone_s: must lie from 60 probes to a week");
+  require(settings.max_reconnect_interval >= settings.probe_interval && settings.max_reconnect_interval <= 1h,
+          "reconnect_s: must lie from one probe to an hour");
+  require(settings.max_datagram_bytes >= 800 && settings.max_datagram_bytes <= 60000,
+          "datagram: must lie from 800 to 60000 bytes");
 }
 
-std::string encode(const Record& r) {
-  Out out;
-  out.byte(static_cast<std::uint8_t>(r.state));
-  out.text(r.name);
-  out.text(r.machine);
-  out.text(r.zone);
-  out.fixed(r.instance);
-  write(out, r.stamp);
-  out.address(r.address);
-  out.address(r.conflicting_address);
-  out.number(r.published_version);
-  if (r.published_version > 0) out.text(r.published);
-  if (r.state == State::suspect || r.state == State::dead) {
-    out.number(std::min(r.accusers.size(), kMaxAccusers));
-    for (std::size_t i = 0; i < std::min(r.accusers.size(), kMaxAccusers); ++i) out.text(r.accusers[i]);
+std::string encode(const Record& record) {
+  Writer writer;
+  writer.byte(static_cast<std::uint8_t>(record.state));
+  writer.string(record.name);
+  writer.string(record.machine);
+  writer.string(record.zone);
+  writer.fixed64(record.instance);
+  write(writer, record.stamp);
+  writer.address(record.address);
+  writer.address(record.conflicting_address);
+  writer.varint(record.published_version);
+  if (record.published_version > 0) writer.string(record.published);
+  if (record.state == State::suspect || record.state == State::dead) {
+    writer.varint(std::min(record.accusers.size(), kMaxAccusers));
+    for (std::size_t i = 0; i < std::min(record.accusers.size(), kMaxAccusers); ++i)
+      writer.string(record.accusers[i]);
   }
-  if (is_gone(r.state)) {
-    out.number(
-        static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::seconds>(r.gone_for).count()));
+  if (is_gone(record.state)) {
+    writer.varint(static_cast<std::uint64_t>(
+        std::chrono::duration_cast<std::chrono::seconds>(record.gone_for).count()));
   }
-  return std::move(out.bytes_);
+  return std::move(writer.bytes);
 }
 
-std::string encode(const Message& m, const std::vector<std::string>& records) {
-  Out body;
-  body.text(m.fleet);
-  body.text(m.sender);
-  body.fixed(m.instance);
-  write(body, m.stamp);
-  body.text(m.target);
-  body.fixed(m.nonce);
-  body.fixed(m.digest);
-  if (m.kind == MessageKind::view) body.fixed(m.mask);
-  if (m.kind == MessageKind::pull) {
-    for (const std::uint64_t b : m.buckets) body.fixed(b);
+std::string encode(const Message& message, const std::vector<std::string>& records) {
+  Writer body;
+  body.string(message.fleet);
+  body.string(message.sender);
+  body.fixed64(message.instance);
+  write(body, message.stamp);
+  body.string(message.target);
+  body.fixed64(message.nonce);
+  body.fixed64(message.digest);
+  if (message.kind == MessageKind::view) body.fixed64(message.mask);
+  if (message.kind == MessageKind::pull) {
+    for (const std::uint64_t b : message.buckets) body.fixed64(b);
   }
-  body.number(m.records.size() + records.size());
-  for (const Record& r : m.records) body.bytes_ += encode(r);
-  for (const std::string& r : records) body.bytes_ += r;
-  Out all;
-  all.bytes_ = kMagic;
-  all.byte(kWireVersion);
-  all.byte(static_cast<std::uint8_t>(m.kind));
-  all.fixed(XXH3_64bits_withSeed(body.bytes_.data(), body.bytes_.size(), static_cast<XXH64_hash_t>(m.kind)));
-  return all.bytes_ + body.bytes_;
+  body.varint(message.records.size() + records.size());
+  for (const Record& record : message.records) body.bytes += encode(record);
+  for (const std::string& record : records) body.bytes += record;
+  Writer encoded;
+  encoded.bytes = kMagic;
+  encoded.byte(kWireVersion);
+  encoded.byte(static_cast<std::uint8_t>(message.kind));
+  encoded.fixed64(
+      XXH3_64bits_withSeed(body.bytes.data(), body.bytes.size(), static_cast<XXH64_hash_t>(message.kind)));
+  return encoded.bytes + body.bytes;
 }
 
-std::variant<Message, DropReason> decode(std::string_view bytes, std::size_t most) {
-  if (bytes.size() > most) return DropReason::oversized;
-  if (!bytes.starts_with(kMagic) || bytes.size() < kHead) return DropReason::foreign;
+std::variant<Message, DropReason> decode(std::string_view bytes, std::size_t max_bytes) {
+  if (bytes.size() > max_bytes) return DropReason::oversized;
+  if (!bytes.starts_with(kMagic) || bytes.size() < kHeaderBytes) return DropReason::foreign;
   if (static_cast<std::uint8_t>(bytes[2]) != kWireVersion) return DropReason::newer_version;
-  Message m;
-  m.kind = static_cast<MessageKind>(bytes[3]);
-  In in(bytes.substr(4));
-  const std::uint64_t sum = in.fixed();
-  const std::string_view body = bytes.substr(kHead);
-  if (m.kind > MessageKind::push_ack ||
-      sum != XXH3_64bits_withSeed(body.data(), body.size(), static_cast<XXH64_hash_t>(m.kind))) {
+  Message message;
+  message.kind = static_cast<MessageKind>(bytes[3]);
+  Reader reader(bytes.substr(4));
+  const std::uint64_t checksum = reader.fixed64();
+  const std::string_view body = bytes.substr(kHeaderBytes);
+  if (message.kind > MessageKind::push_ack ||
+      checksum != XXH3_64bits_withSeed(body.data(), body.size(), static_cast<XXH64_hash_t>(message.kind))) {
     return DropReason::damaged;
   }
-  m.fleet = in.text(kMaxNameBytes);
-  m.sender = in.text(kMaxNameBytes);
-  m.instance = in.fixed();
-  m.stamp = read_stamp(in);
-  m.target = in.text(kMaxNameBytes);
-  m.nonce = in.fixed();
-  m.digest = in.fixed();
-  if (m.kind == MessageKind::view) m.mask = in.fixed();
-  for (std::size_t b = 0; m.kind == MessageKind::pull && b < kDigestBuckets; ++b)
-    m.buckets.push_back(in.fixed());
-  for (std::uint64_t n = in.number(kMaxMembers); n > 0 && in.good; --n) m.records.push_back(read_record(in));
-  if (!in.good || !in.empty() || m.sender.empty()) return DropReason::damaged;
-  return m;
+  message.fleet = reader.string(kMaxNameBytes);
+  message.sender = reader.string(kMaxNameBytes);
+  message.instance = reader.fixed64();
+  message.stamp = read_stamp(reader);
+  message.target = reader.string(kMaxNameBytes);
+  message.nonce = reader.fixed64();
+  message.digest = reader.fixed64();
+  if (message.kind == MessageKind::view) message.mask = reader.fixed64();
+  for (std::size_t b = 0; message.kind == MessageKind::pull && b < kDigestBuckets; ++b)
+    message.buckets.push_back(reader.fixed64());
+  for (std::uint64_t n = reader.varint(kMaxMembers); n > 0 && reader.valid; --n)
+    message.records.push_back(read_record(reader));
+  if (!reader.valid || !reader.empty() || message.sender.empty()) return DropReason::damaged;
+  return message;
 }
 
 }  // namespace valedrum::membership
--- a/membership/wire.h
+++ b/membership/wire.h
@@ -1,4 +1,4 @@
-// The form of what members say to each other: datagrams, and the frames of a stream. Version 1.
+// Encoding of the messages between members: datagrams and stream frames. Protocol version 1.
 #pragma once
 
 #include <optional>
@@ -12,34 +12,34 @@
 namespace valedrum::membership {
 
 inline constexpr std::uint8_t kWireVersion = 1;
-inline constexpr std::size_t kDigestBuckets = 64;        // of the digest
-inline constexpr std::size_t kMaxFrameBytes = 1U << 20;  // bytes of a stream's frame
-inline constexpr std::size_t kMaxMembers = 1U << 12;     // in a frame, and in a view
+inline constexpr std::size_t kDigestBuckets = 64;
+inline constexpr std::size_t kMaxFrameBytes = 1U << 20;  // of one frame on a stream
+inline constexpr std::size_t kMaxMembers = 1U << 12;     // in a frame and in a view
 
 enum class MessageKind : std::uint8_t {
   ping,
-  ack,       // `target` is alive: the sender itself, or one that it was asked to probe
-  nack,      // it is not known yet whether `target` is alive, but the sender is
-  ping_req,  // probe `target` for me
+  ack,       // `target` is alive: the sender itself, or a member that it probed on request
+  nack,      // the sender is alive, and has no answer from `target` yet
+  ping_req,  // asks the receiver to probe `target`
   gossip,
-  pull,     // stream: the sender's digests
-  view,     // stream, answer: what differs in the buckets of `mask`
-  push,     // stream: the sender's own part of these
-  push_ack  // stream, answer
+  pull,     // stream request: the sender's bucket digests
+  view,     // stream response: the records of the buckets in `mask`, which differ
+  push,     // stream request: the sender's records of these buckets
+  push_ack  // stream response
 };
 
-// Why a datagram or frame was not taken.
+// Why a received datagram or frame was dropped.
 enum class DropReason : std::uint8_t {
-  foreign,
-  newer_version,
+  foreign,        // not this protocol
+  newer_version,  // another version of the protocol
   damaged,
   oversized,
   other_fleet,
-  misdirected,
-  stray
+  misdirected,  // for another member, or of a kind that does not belong here
+  stray         // late, repeated, or not asked for
 };
 inline constexpr std::size_t kDropReasons = 7;
-std::string_view name_of(DropReason drop);
+std::string_view name_of(DropReason reason);
 
 struct Message {
   MessageKind kind = MessageKind::gossip;
@@ -55,10 +55,9 @@
   std::vector<Record> records;
 };
 
-// Bytes that a record takes.
 std::string encode(const Record& record);
-// `records` are encoded ones, put behind the message's own.
+// Appends the already encoded `records` to the message's own.
 std::string encode(const Message& message, const std::vector<std::string>& records = {});
-std::variant<Message, DropReason> decode(std::string_view bytes, std::size_t most);
+std::variant<Message, DropReason> decode(std::string_view bytes, std::size_t max_bytes);
 
 }  // namespace valedrum::membership
--- a/recovery/disk.h
+++ b/recovery/disk.h
@@ -1,5 +1,6 @@
-// The one way to the files of the folder that lasts: a real folder, or one that is simulated, with all that a
-// power loss may leave of it. What is not synced may be lost, in whole or in part, and in any order.
+// Access to the files of the state folder through one interface, with a real implementation and a simulated
+// one that models what a power loss may leave: data that is not synced may be lost wholly or in part, and in
+// any order.
 #pragma once
 
 #include <cstdint>
@@ -13,37 +14,41 @@
 
 namespace valedrum::recovery {
 
-// What has to outlast what: `process` a killed process alone, `power` also a machine without power. Then
-// nothing is promised, and nothing done that must not be done twice, before the record of it is synced.
+// Which failure stored records have to survive. `process`: the end of the process. `power`: also a power loss
+// of the machine; then nothing is promised, and nothing that must not be done twice is done, before its
+// record is synced.
 enum class Durability : std::uint8_t { process, power };
 
 class Disk {
  public:
   virtual ~Disk() = default;
 
-  // The whole file; none where it is not there. Throws std::system_error where it is, and can't be read.
+  // Returns the whole file, or nothing if it does not exist. Throws std::system_error if it exists and cannot
+  // be read.
   virtual std::optional<std::string> read(const std::string& name) = 0;
-  // Made where it is not there. False: none of it is there, or a part.
+  // Creates the file if it does not exist. False: at most a part of the bytes was written.
   virtual bool append(const std::string& name, std::string_view bytes) = 0;
   virtual bool truncate(const std::string& name, std::uint64_t size) = 0;
   virtual bool rename(const std::string& from, const std::string& to) = 0;
   virtual void remove(const std::string& name) = 0;
-  // All that was written to it. One that has failed is never tried again as if it had worked: what it covered
-  // may be gone for good, though a later one succeeds.
+  // Makes everything written to the file durable. After a failed sync the data that it covered may be lost
+  // for good, even if a later sync succeeds; a failed sync must not be retried as if that made the data
+  // durable.
   virtual bool sync(const std::string& name) = 0;
-  // That names are what they are: made, changed, removed.
+  // Makes creations, renames and removals of files durable.
   virtual bool sync_directory() = 0;
-  // The same as sync(), as work that another thread may do, once, whatever becomes of the name meanwhile.
+  // Returns the work of sync() for another thread, to be run once. It applies to the present file, even if
+  // the name is changed or removed meanwhile.
   virtual std::function<bool()> sync_later(const std::string& name) = 0;
 };
 
 enum class ReplaceResult : std::uint8_t {
-  failed,    // the old file is as it was
-  unsynced,  // the new file is there, but a power loss may bring the old one back
+  failed,    // the old file is unchanged
+  unsynced,  // the new file is in place, but a power loss may bring the old one back
   replaced,
 };
-// Puts a file in the place of another, so that after a crash there is either of them, whole; with `power`
-// also after a power loss.
+// Replaces a file atomically: after a crash of the process the old or the new file exists, complete. With
+// `power` that also holds after a power loss.
 ReplaceResult replace_file(Disk& disk, const std::string& name, std::string_view bytes,
                            Durability durability);
 
@@ -65,28 +70,28 @@
 
  private:
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
-  int open(const std::string& name);  // under 0: it can't be
+  int open(const std::string& name);  // returns a negative value on failure
   void close(const std::string& name);
 
   std::string folder_;
-  std::map<std::string, int> files_;  // descriptors of those that were written
+  std::map<std::string, int> descriptors_;  // of files opened for writing
 };
 
-// The lab breaks what a disk does, or what is asked of it, on purpose.
+// Faults of a simulated disk, set by tests.
 struct DiskFaults {
-  bool sync_is_noop = false;                  // a sync succeeds, and keeps nothing
-  bool directory_sync_is_noop = false;        // one of names does
-  std::uint64_t capacity_bytes = UINT64_MAX;  // bytes in all files
-  std::uint64_t failing_sync = 0;  // the n-th sync fails, and what it covered is lost at a crash; 0: none
-  bool writes_fail = false;        // nothing that changes a file works; an append leaves half of its bytes
+  bool sync_is_noop = false;                  // sync() returns true, but makes nothing durable
+  bool directory_sync_is_noop = false;        // the same for sync_directory()
+  std::uint64_t capacity_bytes = UINT64_MAX;  // of all files together
+  std::uint64_t failing_sync = 0;  // the n-th sync fails, and a crash loses what it covered; 0: none
+  bool writes_fail = false;        // all changes to files fail; an append writes half of its bytes
   bool directory_sync_fails = false;
 };
 
-// In memory. Operations are counted, and the n-th can be the last one before the power goes.
+// A simulated disk in memory. It counts operations, and can lose power at the n-th one.
 class FakeDisk : public Disk {
  public:
-  struct PowerLoss {};  // thrown by the operation at which the power goes
-  using RandomBelow = std::function<std::uint32_t(std::uint32_t below)>;
+  struct PowerLoss {};  // thrown by the operation at which the power is lost
+  using RandomBelow = std::function<std::uint32_t(std::uint32_t limit)>;
 
   std::optional<std::string> read(const std::string& name) override;
   bool append(const std::string& name, std::string_view bytes) override;
@@ -98,30 +103,31 @@
   std::function<bool()> sync_later(const std::string& name) override;
 
   std::uint64_t operations() const { return operations_; }
-  void schedule_power_loss(std::uint64_t operation) { last_ = operation; }  // counted from 1; 0: never
-  // What is there after it: of what was not synced any part, by blocks, in any order; of names that were not
-  // synced the first few changes, or none.
-  void lose_power(const RandomBelow& draw);
-  // Only the process died: all is there.
-  void lose_process() { last_ = 0; }
+  // Counted from 1; 0: never.
+  void schedule_power_loss(std::uint64_t operation) { power_loss_at_ = operation; }
+  // Sets the content to what a power loss may leave: any part of the unsynced data, by blocks and in any
+  // order, and a prefix of the unsynced directory changes.
+  void lose_power(const RandomBelow& random_below);
+  // Only the process ended: all data is kept.
+  void lose_process() { power_loss_at_ = 0; }
   void flip_bit(const std::string& name, std::uint64_t byte);
   std::uint64_t file_size(const std::string& name) const;
   DiskFaults faults;
 
  private:
   struct Inode {
-    std::string now, synced;
+    std::string current, synced;
   };
   using File = std::shared_ptr<Inode>;
-  using Names = std::map<std::string, File>;
+  using Directory = std::map<std::string, File>;
 
-  void operation();
-  File& file(const std::string& name);
-  std::uint64_t bytes() const;
+  void count_operation();
+  File& inode(const std::string& name);
+  std::uint64_t used_bytes() const;
 
-  Names names_, synced_names_;
-  std::vector<Names> changes_;  // as names were after each change since
-  std::uint64_t operations_ = 0, last_ = 0, syncs_ = 0;
+  Directory directory_, synced_directory_;
+  std::vector<Directory> unsynced_changes_;  // the directory after each change since the last sync
+  std::uint64_t operations_ = 0, power_loss_at_ = 0, syncs_ = 0;
 };
 
 }  // namespace valedrum::recovery
--- a/tests/fleet_asking_test.cpp
+++ b/tests/fleet_asking_test.cpp
@@ -1,4 +1,4 @@
-// What all relays of a fleet ask of discovery together.
+// Rate of the requests to discovery for the host list, from all relays of a fleet together.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -25,56 +25,58 @@
   return s;
 }
 
-// When all relays ask, in the lab, where no message comes: all start at once with a known list.
-std::vector<Time> asks_of(std::uint32_t relays, Duration span, const std::string& discovery) {
+// Returns the times of all list requests on an emulated day without messages. All relays start at once with a
+// known list.
+std::vector<Time> list_requests(std::uint32_t relays, Duration duration, const std::string& discovery) {
   const lab::Scenario scenario =
-      lab::parse_scenario("version = 1\nname = 'asking'\nseconds = " + std::to_string(span / 1s) +
+      lab::parse_scenario("version = 1\nname = 'asking'\nseconds = " + std::to_string(duration / 1s) +
                               "\n[fleet]\nload = 0\nrelays = " + std::to_string(relays) +
                               "\n[discovery]\non_request = true\n" + discovery,
                           "asking");
-  std::vector<Time> asks;
+  std::vector<Time> requests;
   lab::PlayOptions options;
   options.watch = [&](const lab::Observation& o) {
-    if (o.what == lab::What::asked) asks.push_back(o.at);
+    if (o.what == lab::What::asked) requests.push_back(o.at);
   };
   lab::play(lab::draw(scenario, 1), lab::policy(lab::kProduct), options);
-  return asks;
+  return requests;
 }
 
-// Discovery answers no call, and each fails after two seconds.
+// Discovery does not answer: every request fails after two seconds.
 const std::string kSilent = "[[fault]]\nkind = 'discovery'\nat = 0\nlasts = 100\n";
-// Every watch brings the list and ends a moment later, from the start to the end.
+// Every watch delivers the list and ends 0.1 s later, during the whole day.
 const std::string kCutShort = "watch_lasts = 0.1\n";
 
-std::ptrdiff_t within(const std::vector<Time>& asks, Time from, Duration span) {
-  return std::ranges::count_if(asks, [&](Time t) { return t >= from && t < from + span; });
+std::ptrdiff_t count_within(const std::vector<Time>& requests, Time from, Duration duration) {
+  return std::ranges::count_if(requests, [&](Time t) { return t >= from && t < from + duration; });
 }
 
 TEST(FleetAsking, AHundredThatStartTogetherAskOneAfterTheOther) {
-  const auto asks = asks_of(100, 60s, kSilent);
+  const auto requests = list_requests(100, 60s, kSilent);
   for (Time from{}; from < Time(60s); from += 1s)
-    EXPECT_LE(within(asks, from, 1s), 32) << from.time_since_epoch().count();
+    EXPECT_LE(count_within(requests, from, 1s), 32) << from.time_since_epoch().count();
 }
 
 TEST(FleetAsking, WhileDiscoveryIsSilentTheyAskLessOftenThanItCanAnswer) {
-  const auto asks = asks_of(100, 70s, kSilent);
-  EXPECT_LE(within(asks, Time(20s), 50s), 50 * 20);  // 50 ms for each
-  EXPECT_GE(within(asks, Time(20s), 50s), 50 * 17);  // each one within the 6 s in which it must ask
+  const auto requests = list_requests(100, 70s, kSilent);
+  EXPECT_LE(count_within(requests, Time(20s), 50s), 50 * 20);  // 50 ms for each
+  // Each relay at least once in the 6 s allowed between requests.
+  EXPECT_GE(count_within(requests, Time(20s), 50s), 50 * 17);
 }
 
 TEST(FleetAsking, TwoRelaysAskAtOnceAndSoonAgain) {
-  const auto asks = asks_of(2, 30s, kSilent);
-  EXPECT_EQ(within(asks, Time{}, 200ms), 2);
-  EXPECT_GE(within(asks, Time(10s), 20s), 2 * 4);
+  const auto requests = list_requests(2, 30s, kSilent);
+  EXPECT_EQ(count_within(requests, Time{}, 200ms), 2);
+  EXPECT_GE(count_within(requests, Time(10s), 20s), 2 * 4);
 }
 
 TEST(FleetAsking, WatchesThatEndEarlyAreAskedForWithGrowingPauses) {
-  const auto few = asks_of(2, 60s, kCutShort);
-  EXPECT_LE(within(few, Time(20s), 40s), 2 * 25);  // 97 with pauses that don't grow
-  EXPECT_GE(within(few, Time(20s), 40s), 2 * 4);   // each one within the time in which it must ask
-  const auto many = asks_of(300, 60s, kCutShort);
-  EXPECT_LE(within(many, Time(20s), 40s), 40 * 60);  // 68 a second with pauses that don't grow
-  EXPECT_GE(within(many, Time(20s), 40s), 300 * 4);
+  const auto few = list_requests(2, 60s, kCutShort);
+  EXPECT_LE(count_within(few, Time(20s), 40s), 2 * 25);  // 97 without a growing backoff
+  EXPECT_GE(count_within(few, Time(20s), 40s), 2 * 4);  // each relay within the time allowed between requests
+  const auto many = list_requests(300, 60s, kCutShort);
+  EXPECT_LE(count_within(many, Time(20s), 40s), 40 * 60);  // 68 a second without a growing backoff
+  EXPECT_GE(count_within(many, Time(20s), 40s), 300 * 4);
 }
 
 TEST(FleetAsking, AWatchThatLastedIsAskedForAgainSoon) {
@@ -82,7 +84,7 @@
   const HostList whole{HostList::Kind::whole, {{HostId(1), DestinationId(1), ZoneId(0)}}};
   const HostList lost{HostList::Kind::lost, {}};
   Time now{};
-  for (int cut = 0; cut < 6; ++cut, now += 10s) {  // asked for with long pauses by now
+  for (int cut = 0; cut < 6; ++cut, now += 10s) {  // raises the backoff
     (void)sender.step(now, std::vector<Event>{whole});
     (void)sender.step(now + 100ms, std::vector<Event>{lost});
   }
--- a/tests/fleet_health_test.cpp
+++ b/tests/fleet_health_test.cpp
@@ -1,4 +1,4 @@
-// What fleets make of endpoints that fail beside others that work, in the lab.
+// Emulated fleets of relays whose destination has one failing and one working endpoint.
 #include <gtest/gtest.h>
 
 #include "policy.h"
@@ -18,12 +18,13 @@
   return play(draw(scenario, seed), policy(kProduct)).whole;
 }
 
-// Its errors come sooner than the other's answers: counted for both, they shut the partner as a whole.
+// Guards against errors of one endpoint counting against the other. The failing endpoint answers sooner than
+// the working one, so errors counted for both stopped calls to the whole destination.
 TEST(FleetHealth, AFastFailerBesideAnEndpointThatWorksCostsLittle) {
   for (const std::uint32_t relays : {4U, 20U, 60U}) {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       EXPECT_GT(served(relays, "kind = 'failing'", seed), 0.95)
-          << relays << " relays, seed " << seed;  // 0.74 where one counts for both
+          << relays << " relays, seed " << seed;  // 0.74 when errors count for both
     }
   }
 }
