--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -11,9 +11,9 @@
 namespace vetchhinge::drill {
 namespace {
 
-// Whatever discovery has to tell counts as told so long after it had it and could be reached, also where the
-// settings name a longer time for a relay that has to ask (the platform's).
-constexpr Duration kTold = std::chrono::seconds(6);
+// By the rules of the platform a relay counts as knowing the data of discovery this long after discovery had
+// it and was reachable, even if the settings allow a longer time between requests for the list.
+constexpr Duration kMaxListDelay = std::chrono::seconds(6);
 
 [[noreturn]] void reject(std::string_view line, std::string_view field, std::string_view what) {
   throw WireError(std::string(line) + ": " + std::string(field) + ": " + std::string(what));
@@ -30,17 +30,17 @@
   return value;
 }
 
-// Milliseconds on the wire, microseconds in the module; beyond 2^53 they would no longer be exact.
+// Milliseconds on the wire, microseconds in the module; values beyond 2^53 would not be exact.
 Duration to_duration(std::string_view line, std::string_view field, std::string_view text) {
   const double us = parse<double>(line, field, text) * 1000;
   if (std::abs(us) > 9007199254740992.0) reject(line, field, "out of range");
   return Duration(std::llround(us));
 }
 
-std::vector<std::string_view> split(std::string_view text, char by) {
+std::vector<std::string_view> split(std::string_view text, char separator) {
   std::vector<std::string_view> result;
   while (!text.empty()) {
-    const auto at = text.find(by);
+    const auto at = text.find(separator);
     result.push_back(text.substr(0, at));
     if (at == std::string_view::npos) break;
     text.remove_prefix(at + 1);
@@ -50,12 +50,12 @@
 
 std::string number_text(std::uint64_t value) { return std::to_string(value); }
 
-std::string span_text(Duration d) {
+std::string duration_text(Duration d) {
   const auto us = d.count();
   std::string text = std::to_string(us / 1000);
   if (us % 1000 != 0) {
-    const std::string part = std::to_string(1000 + us % 1000);
-    text.append(".").append(part, 1);
+    const std::string fraction = std::to_string(1000 + us % 1000);
+    text.append(".").append(fraction, 1);
   }
   return text;
 }
@@ -71,8 +71,8 @@
 
 ClassSettings read_class(const Line& line, const std::string& at) {
   ClassSettings c;
-  c.aim = line.span(at + "aim");
-  c.deadline = line.span(at + "deadline");
+  c.aim = line.duration(at + "aim");
+  c.deadline = line.duration(at + "deadline");
   c.worth = line.number(at + "worth");
   c.late_worth = line.number(at + "lateWorth");
   const std::string_view effect = line.text(at + "idempotency");
@@ -80,7 +80,7 @@
     c.effect = Effect::idempotent;
   } else if (effect == "deduplicated") {
     c.effect = Effect::deduplicated;
-    c.window = line.span(at + "window");
+    c.window = line.duration(at + "window");
     c.scope = line.text(at + "keyScope") == "all" ? KeyScope::all : KeyScope::zone;
   } else if (effect != "at_most_once") {
     reject(line.name(), at + "idempotency", "unknown effect");
@@ -95,43 +95,43 @@
   const auto words = split(text, ' ');
   if (words.empty()) return;
   name_ = words.front();
-  parts_.reserve(words.size());
+  fields_.reserve(words.size());
   for (std::size_t i = 1; i < words.size(); ++i) {
     const auto at = words[i].find('=');
-    if (at != std::string_view::npos) parts_.emplace_back(words[i].substr(0, at), words[i].substr(at + 1));
+    if (at != std::string_view::npos) fields_.emplace_back(words[i].substr(0, at), words[i].substr(at + 1));
   }
 }
 
-std::optional<std::string_view> Line::find(std::string_view part) const {
-  for (const auto& [name, value] : parts_) {
-    if (name == part) return value;
+std::optional<std::string_view> Line::find(std::string_view field) const {
+  for (const auto& [name, value] : fields_) {
+    if (name == field) return value;
   }
   return std::nullopt;
 }
 
-std::string_view Line::text(std::string_view part) const {
-  const auto value = find(part);
-  if (!value) reject(name_, part, "missing");
+std::string_view Line::text(std::string_view field) const {
+  const auto value = find(field);
+  if (!value) reject(name_, field, "missing");
   return *value;
 }
 
-std::uint64_t Line::integer(std::string_view part, std::uint64_t most) const {
-  const auto value = parse<std::uint64_t>(name_, part, text(part));
-  if (value > most) reject(name_, part, "out of range");
+std::uint64_t Line::integer(std::string_view field, std::uint64_t max) const {
+  const auto value = parse<std::uint64_t>(name_, field, text(field));
+  if (value > max) reject(name_, field, "out of range");
   return value;
 }
 
-double Line::number(std::string_view part) const { return parse<double>(name_, part, text(part)); }
+double Line::number(std::string_view field) const { return parse<double>(name_, field, text(field)); }
 
-Duration Line::span(std::string_view part) const { return to_duration(name_, part, text(part)); }
+Duration Line::duration(std::string_view field) const { return to_duration(name_, field, text(field)); }
 
-Time Line::at(std::string_view part) const { return Time(span(part)); }
+Time Line::time(std::string_view field) const { return Time(duration(field)); }
 
-bool Line::flag(std::string_view part) const {
-  const auto value = text(part);
+bool Line::flag(std::string_view field) const {
+  const auto value = text(field);
   if (value == "1" || value == "true") return true;
   if (value == "0" || value == "false") return false;
-  reject(name_, part, "not a yes or no");
+  reject(name_, field, "not a boolean");
 }
 
 std::uint32_t Names::number(std::string_view name) {
@@ -172,13 +172,13 @@
   s.over_share_worth = line.number("overShareWorth");
   s.start_capacity = line.number("rules.startCapacity");
   s.overload_factor = line.number("rules.overloadFactor");
-  s.overload_window = line.span("rules.overloadFor");
-  s.slow_start_duration = line.span("rules.warmAfter");
-  s.max_wait_hint = line.span("allowed.maxRetryAfter");
-  s.connection_idle = line.span("allowed.connIdle");
-  if (line.find("rules.orderSettle")) s.ordered_key_delay = line.span("rules.orderSettle");
-  if (s.list_on_request) s.list_request_interval = std::min(line.span("rules.askWithin"), kTold);
-  s.tick = line.span("tick");
+  s.overload_window = line.duration("rules.overloadFor");
+  s.slow_start_duration = line.duration("rules.warmAfter");
+  s.max_wait_hint = line.duration("allowed.maxRetryAfter");
+  s.connection_idle = line.duration("allowed.connIdle");
+  if (line.find("rules.orderSettle")) s.ordered_key_delay = line.duration("rules.orderSettle");
+  if (s.list_on_request) s.list_request_interval = std::min(line.duration("rules.askWithin"), kMaxListDelay);
+  s.tick = line.duration("tick");
   if (const auto zone = line.find("zone"); zone && !zone->empty())
     s.zone = ZoneId(dialect.zones.number(*zone));
 
@@ -187,12 +187,13 @@
     dialect.classes.number(line.text(at + "name"));
     s.classes.push_back(read_class(line, at));
   }
-  const auto apart = split(line.text("familyInfo.kindApart"), ',');
+  const auto per_host_limits = split(line.text("familyInfo.kindApart"), ',');
   const auto batch = split(line.text("familyInfo.kindBatch"), ',');
   for (const std::string_view name : split(line.text("hostTypes"), ',')) {
     const std::size_t i = dialect.kinds.number(name);
-    if (i >= apart.size() || i >= batch.size()) reject(line.name(), "hostTypes", "longer than its figures");
-    s.kinds.push_back({apart[i] == "true" || apart[i] == "1",
+    if (i >= per_host_limits.size() || i >= batch.size())
+      reject(line.name(), "hostTypes", "more names than values");
+    s.kinds.push_back({per_host_limits[i] == "true" || per_host_limits[i] == "1",
                        parse<std::uint32_t>(line.name(), "familyInfo.kindBatch", batch[i])});
   }
   if (line.find("orgs.count")) {
@@ -270,7 +271,7 @@
   if (!cls) reject(line.name(), "priority", "unknown class");
   m.cls = *cls;
   m.destination = DestinationId(line.integer("calledNode", std::numeric_limits<std::uint64_t>::max()));
-  m.valid_until = line.at("validUntil");
+  m.valid_until = line.time("validUntil");
   if (const auto tenant = line.find("tenant")) m.tenant = dialect.tenants.find(*tenant);
   if (line.find("routeKey")) m.key = line.integer("routeKey", std::numeric_limits<std::uint64_t>::max());
   return m;
@@ -287,8 +288,8 @@
   o.attempt = static_cast<std::uint32_t>(line.integer("trial", most));
   o.result = read_result(line);
   o.terminal = line.flag("terminal");
-  o.elapsed = line.span("elapsed");
-  if (o.result == Result::full && line.find("detail")) o.wait = line.span("detail");
+  o.elapsed = line.duration("elapsed");
+  if (o.result == Result::full && line.find("detail")) o.wait = line.duration("detail");
   if (const auto stats = line.find("stats"); stats && dialect.share_left && dialect.calls_per_second) {
     const auto values = split(*stats, ',');
     if (*dialect.share_left < values.size() && *dialect.calls_per_second < values.size()) {
@@ -311,17 +312,17 @@
         if constexpr (std::is_same_v<A, Send>) {
           return "HAND_OFF ticket=" + id(a.id) +
                  " host=" + dialect.hosts.name(static_cast<std::uint32_t>(a.host)) +
-                 " within=" + span_text(a.timeout);
+                 " within=" + duration_text(a.timeout);
         } else if constexpr (std::is_same_v<A, Refuse>) {
-          return "REJECT ticket=" + id(a.id) + " notBeforeFor=" + span_text(a.wait);
+          return "REJECT ticket=" + id(a.id) + " notBeforeFor=" + duration_text(a.wait);
         } else if constexpr (std::is_same_v<A, Fail>) {
           return "END_FAILED ticket=" + id(a.id);
         } else if constexpr (std::is_same_v<A, SetTimer>) {
-          return "SCHEDULE name=" + number_text(a.token) + " fromNow=" + span_text(a.after);
+          return "SCHEDULE name=" + number_text(a.token) + " fromNow=" + duration_text(a.after);
         } else if constexpr (std::is_same_v<A, CloseIdleConnections>) {
           return "FREE_LINKS host=" + dialect.hosts.name(static_cast<std::uint32_t>(a.host));
         } else if constexpr (std::is_same_v<A, EvictDestination>) {
-          throw std::logic_error("a destination put away though no bound is set");
+          throw std::logic_error("a destination was evicted although max_destinations is not set");
         } else {
           static_assert(std::is_same_v<A, SubscribeHostList>);
           return "WATCH active=1";
--- a/adapter/codec.h
+++ b/adapter/codec.h
@@ -1,4 +1,4 @@
-// The wire's text lines to the module's types and back. Translation only: nothing is decided here.
+/// Conversion between the text lines of the wire and the types of the decision module.
 #pragma once
 
 #include <cstdint>
@@ -14,42 +14,43 @@
 
 namespace vetchhinge::drill {
 
-// A line that can't be read: names the line's kind and the field.
+/// A line that cannot be parsed; the text names the kind of line and the field.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One line of the wire: a name, then name=value parts.
+/// One line of the wire: a name, followed by name=value fields.
 class Line {
  public:
   explicit Line(std::string_view text);
 
   std::string_view name() const { return name_; }
-  const std::vector<std::pair<std::string_view, std::string_view>>& parts() const { return parts_; }
+  const std::vector<std::pair<std::string_view, std::string_view>>& fields() const { return fields_; }
 
-  std::optional<std::string_view> find(std::string_view part) const;
-  std::string_view text(std::string_view part) const;
-  std::uint64_t integer(std::string_view part, std::uint64_t most) const;
-  double number(std::string_view part) const;
-  Duration span(std::string_view part) const;
-  Time at(std::string_view part) const;
-  bool flag(std::string_view part) const;
+  std::optional<std::string_view> find(std::string_view field) const;
+  std::string_view text(std::string_view field) const;
+  std::uint64_t integer(std::string_view field, std::uint64_t max) const;
+  double number(std::string_view field) const;
+  Duration duration(std::string_view field) const;
+  Time time(std::string_view field) const;
+  bool flag(std::string_view field) const;
 
  private:
   std::string_view name_;
-  std::vector<std::pair<std::string_view, std::string_view>> parts_;
+  std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
-// Numbers for the names of one kind, in the order of first use. No number is used twice: events on their way
-// may still bear that of a name which was forgotten.
+/// Numbers for the names of one kind, in the order of first use. A number is never reused, as pending events
+/// may still carry that of a name that was forgotten.
 class Names {
  public:
   std::uint32_t number(std::string_view name);
   std::optional<std::uint32_t> find(std::string_view name) const;
   const std::string& name(std::uint32_t number) const { return names_.at(number); }
   void forget(std::uint32_t number);
-  // Its name gets another number when it is met again. Until it is forgotten the number still bears it.
+  /// Detaches the name, which gets another number on its next use. The number keeps the name until it is
+  /// forgotten.
   void release_name(std::uint32_t number);
 
  private:
@@ -58,7 +59,7 @@
   std::uint32_t next_ = 0;
 };
 
-// What the wire's words mean to one instance.
+/// The names on the wire as known to one instance.
 struct Dialect {
   Names classes;
   Names tenants;
@@ -66,11 +67,11 @@
   Names zones;
   Names hosts;
   bool listed_rates = false;
-  std::optional<std::size_t> share_left;  // places in a load report
+  std::optional<std::size_t> share_left;  // index in a load report
   std::optional<std::size_t> calls_per_second;
 };
 
-// A host of a list as the wire gives it; lists belong to the process, the numbers to each instance.
+/// A host of a list as sent on the wire. Lists belong to the process, numbers to each instance.
 struct WireHost {
   std::string host;
   std::string kind;
@@ -89,7 +90,7 @@
 Outcome read_outcome(const Line& line, const Dialect& dialect);
 Withdrawn read_withdrawn(const Line& line);
 
-// One action as a line, without its end.
+/// Returns one action as a line without line end.
 std::string write(const Action& action, const Dialect& dialect);
 
 }  // namespace vetchhinge::drill
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,4 @@
-// vetchhinge_drill: hosts one Sender for each instance on the simulator's wire. Translation only.
+/// vetchhinge_drill: runs one Sender for each instance on the simulator's wire.
 #include <exception>
 #include <iostream>
 #include <map>
@@ -17,34 +17,34 @@
 struct Instance {
   Dialect dialect;
   std::unique_ptr<Sender> sender;
-  std::vector<Event> events;  // of the batch at hand
-  bool touched = false;       // has an event in it
+  std::vector<Event> events;  // of the current batch
+  bool touched = false;       // has an event in the current batch
 };
 
-class Drill {
+class WireServer {
  public:
-  // Takes one line; on the end of a batch returns the reply.
-  std::optional<std::string> take(const std::string& text) {
+  /// Processes one line. Returns the reply at the end of a batch.
+  std::optional<std::string> process_line(const std::string& text) {
     const Line line(text);
     if (line.name().empty()) return std::nullopt;
     if (line.name() == "TICK") {
-      now_ = line.at("atTime");
+      now_ = line.time("atTime");
       current_.reset();
       return std::nullopt;
     }
     if (!now_) throw WireError(std::string(line.name()) + ": before TICK");
     if (line.name() == "FLUSH") return reply();
-    event(line);
+    handle_event(line);
     return std::nullopt;
   }
 
  private:
-  void event(const Line& line) {
+  void handle_event(const Line& line) {
     const std::string_view name = line.name();
     if (name == "CONTEXT") {
       current_ = line.integer("who", std::numeric_limits<std::uint32_t>::max());
     } else if (name == "MANIFEST") {
-      sheet_ = &sheets_[line.integer("sheet", kSheets)];
+      sheet_ = &sheets_[line.integer("sheet", kMaxSheet)];
       sheet_->clear();
     } else if (name == "HOST") {
       if (!sheet_) throw WireError("HOST: before MANIFEST");
@@ -60,7 +60,7 @@
       std::erase(touched_, who(line));
     } else if (name == "FLEET") {
       static const std::vector<WireHost> none;
-      const auto sheet = line.find("sheet") ? sheets_.find(line.integer("sheet", kSheets)) : sheets_.end();
+      const auto sheet = line.find("sheet") ? sheets_.find(line.integer("sheet", kMaxSheet)) : sheets_.end();
       Instance& i = instance(line);
       i.events.emplace_back(read_list(line, sheet == sheets_.end() ? none : sheet->second, i.dialect));
     } else if (name == "ACCEPT") {
@@ -102,7 +102,7 @@
     return text + "YIELD\n";
   }
 
-  static constexpr std::uint64_t kSheets = 15;  // highest number of a list, by the wire
+  static constexpr std::uint64_t kMaxSheet = 15;  // highest list number on the wire
   std::optional<Time> now_;
   std::optional<std::uint64_t> current_;
   std::map<std::uint64_t, Instance> instances_;
@@ -114,11 +114,11 @@
 int run() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  Drill drill;
+  WireServer server;
   std::string line;
   for (std::uint64_t number = 1; std::getline(std::cin, line); ++number) {
     try {
-      if (const auto reply = drill.take(line)) std::cout << *reply << std::flush;
+      if (const auto reply = server.process_line(line)) std::cout << *reply << std::flush;
     } catch (const WireError& e) {
       std::cerr << "line " << number << ": " << e.what() << '\n';
       return 2;
--- a/include/vetchhinge/policy.h
+++ b/include/vetchhinge/policy.h
@@ -53,7 +53,7 @@
 
 struct KindSettings {
   bool per_host_limits = false;  // each host has its own limit, rate limit and outages
-  std::uint32_t batch = 1;       // most messages in one call
+  std::uint32_t batch = 1;       // largest number of messages in one call
 };
 
 struct TenantSettings {
@@ -62,14 +62,14 @@
 
 struct Settings {
   std::uint64_t seed = 0;
-  std::uint32_t slots = 1;     // most calls in flight
-  std::uint32_t max_open = 1;  // most unfinished messages, queued or in flight
+  std::uint32_t slots = 1;     // largest number of calls in flight
+  std::uint32_t max_open = 1;  // largest number of unfinished messages, queued or in flight
   std::uint32_t max_attempts = 1;
   std::uint32_t relays = 1;  // relays that call the same destinations, including this one
-  // Most destinations whose hosts and learned state are kept; 0: no bound. The bound is exceeded while none
-  // of the destinations can be evicted.
+  // Largest number of destinations whose hosts and learned state are kept; 0: no bound. The bound is exceeded
+  // while none of the destinations can be evicted.
   std::uint32_t max_destinations = 0;
-  bool wait_hints = false;         // refused clients are told how long to wait
+  bool wait_hints = false;         // refusals carry a hint how long to wait
   bool list_on_request = false;    // the list of hosts is sent only on request
   bool late_worth_halves = false;  // late worth halves with each further `aim`; otherwise it falls linearly
   double over_share_worth = 1;     // factor on the worth of messages from tenants over their fraction
@@ -157,7 +157,7 @@
   HostId host{};
 };
 
-/// Learned state of a previous process. It belongs into the first step, after the list of hosts.
+/// Learned state of a previous process. It is passed to the first step, after the list of hosts.
 struct LearnedState {
   std::vector<LimitGroupSnapshot> limit_groups;
   std::vector<HostSnapshot> hosts;
@@ -185,8 +185,8 @@
   std::uint64_t token = 0;
 };
 
-/// How an attempt ended: `full` is a rejection for lack of capacity, `cancelled` an attempt that this side
-/// ended, and `not_sent` one of which nothing was sent.
+/// How an attempt ended. `full`: rejected for lack of capacity. `cancelled`: this side closed the connection
+/// of a request that had been sent. `not_sent`: the request was not passed on completely, so it did not run.
 enum class Result { delivered, error, full, timed_out, connect_failed, reset, cancelled, not_sent };
 
 /// State of the rate limit of a destination, as reported in a response.
--- a/lab/calibrate.sh
+++ b/lab/calibrate.sh
@@ -11,14 +11,14 @@
 # name | file | what is changed
 variants=(
   "as it is|src/policy.cpp|s/^$//"
-  "circuit opens late|src/policy.cpp|s/kOpenAfter = 4/kOpenAfter = 400/"
-  "short time-outs|src/policy.cpp|s/kTimeoutP95 = 4.0/kTimeoutP95 = 0.8/; s/kTimeoutAim = 1.0/kTimeoutAim = 0.15/"
-  "never halves|src/cap.cpp|s/kErrorsHalve = 0.1/kErrorsHalve = 2.0/"
-  "small hold|src/policy.cpp|s/kHoldShare = 0.4/kHoldShare = 0.02/; s/kHoldLeast = 4/kHoldLeast = 1/"
-  "refuses late|src/policy.cpp|s/kWaitShare = 0.5/kWaitShare = 50/"
-  "small caps|src/cap.cpp|s/kCapShare = 0.75/kCapShare = 0.15/; s/kStartShare = 0.34/kStartShare = 0.1/"
-  "retries at once|src/policy.cpp|s/kBackoffLeast = 250ms/kBackoffLeast = 1ms/; s/kBackoffShare = 0.25/kBackoffShare = 0.001/"
-  "timid when cold|src/ramp.cpp|s/kRampShare = 1.2/kRampShare = 0.1/; s/kRampLeast = 1.0/kRampLeast = 0.05/; s/kRampLeastAll = 100.0/kRampLeastAll = 1.0/"
+  "circuit opens late|src/policy.cpp|s/kCircuitOpenWeight = 4/kCircuitOpenWeight = 400/"
+  "short time-outs|src/policy.cpp|s/kTimeoutP95Factor = 4.0/kTimeoutP95Factor = 0.8/; s/kTimeoutAimShare = 1.0/kTimeoutAimShare = 0.15/"
+  "never halves|src/cap.cpp|s/kErrorRateToHalve = 0.1/kErrorRateToHalve = 2.0/"
+  "small hold|src/policy.cpp|s/kMaxQueueShare = 0.4/kMaxQueueShare = 0.02/; s/kMinQueueBound = 4/kMinQueueBound = 1/"
+  "refuses late|src/policy.cpp|s/kMaxWaitShare = 0.5/kMaxWaitShare = 50/"
+  "small caps|src/cap.cpp|s/kMaxCapShare = 0.75/kMaxCapShare = 0.15/; s/kInitialCapShare = 0.34/kInitialCapShare = 0.1/"
+  "retries at once|src/policy.cpp|s/kMinBackoff = 250ms/kMinBackoff = 1ms/; s/kBackoffIntervalShare = 0.25/kBackoffIntervalShare = 0.001/"
+  "timid when cold|src/rate_limits.cpp|s/kRampShare = 1.2/kRampShare = 0.1/; s/kRampLeast = 1.0/kRampLeast = 0.05/; s/kRampLeastAll = 100.0/kRampLeastAll = 1.0/"
 )
 # Days like those that the bench plays for this site: a partner hung; slow and silent; relays killed and hung; a busy
 # relay and silent.
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -133,7 +133,7 @@
   const vetchhinge::drill::Line settings(pairs);
   config.settings = vetchhinge::drill::read_settings(settings, config.dialect);
   config.settings.max_destinations = kMaxTrackedDestinations;
-  config.connect_timeout = settings.span("allowed.connectTimeout");
+  config.connect_timeout = settings.duration("allowed.connectTimeout");
 
   if (const json::value* known = root.if_contains("known"); known && known->is_object()) {
     reject("known", "the field name must not contain JSON escapes");
--- a/src/cap.h
+++ b/src/cap.h
@@ -1,4 +1,4 @@
-// The cap on calls in flight of one lane: what it starts at, and when it is cut or raised.
+/// The limit on calls in flight (cap) of a limit group: its initial value, and when it is reduced or raised.
 #pragma once
 
 #include <cstdint>
@@ -7,22 +7,25 @@
 
 namespace vetchhinge {
 
-constexpr Duration kControlTick = std::chrono::milliseconds(500);  // between two judgements of a cap (ours)
+constexpr Duration kControlInterval = std::chrono::milliseconds(500);  // between two evaluations of a cap
 
-int start_cap(std::uint32_t slots);
+/// Returns the initial cap of a limit group.
+int initial_cap(std::uint32_t slots);
 
-// Calls that all slow or failing lanes together may have out.
-int poor_share(std::uint32_t slots);
+/// Returns the number of calls that all impaired limit groups together may have in flight.
+int impaired_cap(std::uint32_t slots);
 
-RecentSamples watched_latencies();
+/// Returns an empty set of samples with the bounds used for latencies.
+RecentSamples latency_window();
 
-// Seconds under which nearly all calls end.
-double watched_latency(const Lane& l);
+/// Returns the p95 of the latency, or its baseline if that is longer, in seconds.
+double latency_p95(const LimitGroup& l);
 
-// Most calls since the last verdict failed.
-bool mostly_failing(const Lane& l);
+/// Returns whether the failures since the last evaluation are frequent enough to count as an outage.
+bool mostly_failing(const LimitGroup& l);
 
-// At a tick: halves the cap on errors, cuts it when slow, raises it when healthy.
-void judge(Lane& l, Time now, std::uint32_t slots);
+/// Evaluates the calls since the last evaluation: halves the cap on errors, reduces it when calls are slow
+/// and raises it when they are healthy.
+void adjust_cap(LimitGroup& l, Time now, std::uint32_t slots);
 
 }  // namespace vetchhinge
--- a/src/fleet.cpp
+++ b/src/fleet.cpp
@@ -6,29 +6,29 @@
 namespace vetchhinge {
 namespace {
 
-// In the place that is free, or a new one.
+// Stores a record at the free index, or appends it. Returns its index.
 template <typename Record>
-std::size_t put(std::vector<Record>& records, std::optional<std::size_t> place, Record record) {
-  if (!place) {
+std::size_t store(std::vector<Record>& records, std::optional<std::size_t> index, Record record) {
+  if (!index) {
     records.push_back(std::move(record));
     return records.size() - 1;
   }
-  records[*place] = std::move(record);
-  return *place;
+  records[*index] = std::move(record);
+  return *index;
 }
 
-std::optional<std::size_t> last_of(std::vector<std::size_t>& free) {
+std::optional<std::size_t> take_last(std::vector<std::size_t>& free) {
   if (free.empty()) return std::nullopt;
-  const std::size_t place = free.back();
+  const std::size_t index = free.back();
   free.pop_back();
-  return place;
+  return index;
 }
 
-std::optional<std::size_t> highest_of(std::priority_queue<std::size_t>& free) {
+std::optional<std::size_t> take_highest(std::priority_queue<std::size_t>& free) {
   if (free.empty()) return std::nullopt;
-  const std::size_t place = free.top();
+  const std::size_t index = free.top();
   free.pop();
-  return place;
+  return index;
 }
 
 }  // namespace
@@ -41,58 +41,59 @@
 
 std::size_t Fleet::destination_for(DestinationId id, const RateMeter& arrivals) {
   const auto [at, added] = destination_index_.try_emplace(id, 0);
-  if (added) at->second = put(destinations, last_of(free_destinations_), Destination(id, arrivals));
+  if (added) at->second = store(destinations, take_last(free_destinations_), Destination(id, arrivals));
   return at->second;
 }
 
-std::size_t Fleet::add(const HostEntry& entry, std::size_t destination, bool own_lane, const Lane& fresh) {
+std::size_t Fleet::add(const HostEntry& entry, std::size_t destination, bool own_group,
+                       const LimitGroup& fresh) {
   Destination& d = destinations[destination];
-  if (d.lanes.empty() || own_lane) {
-    d.lanes.push_back(put(lanes, highest_of(free_lanes_), fresh));
-    lanes[d.lanes.back()].destination = destination;
+  if (d.limit_groups.empty() || own_group) {
+    d.limit_groups.push_back(store(limit_groups, take_highest(free_groups_), fresh));
+    limit_groups[d.limit_groups.back()].destination = destination;
   }
   Host h;
   h.id = entry.host;
   h.zone = entry.zone;
-  h.lane = d.lanes.back();
-  const std::size_t place = put(hosts, last_of(free_hosts_), std::move(h));
-  lanes[d.lanes.back()].hosts.push_back(place);
-  host_index_.emplace(entry.host, place);
-  unsettled_.push_back(place);  // not listed yet
-  return place;
+  h.limit_group = d.limit_groups.back();
+  const std::size_t index = store(hosts, take_last(free_hosts_), std::move(h));
+  limit_groups[d.limit_groups.back()].hosts.push_back(index);
+  host_index_.emplace(entry.host, index);
+  removal_candidates_.push_back(index);  // not listed yet
+  return index;
 }
 
-void Fleet::told(std::size_t host, HostState state) {
+void Fleet::update_state(std::size_t host, HostState state) {
   hosts[host].listed = state != HostState::gone;
   hosts[host].running = state == HostState::running;
-  if (!hosts[host].listed) unsettled_.push_back(host);
+  if (!hosts[host].listed) removal_candidates_.push_back(host);
 }
 
-void Fleet::none_told() {
-  unsettled_.clear();
+void Fleet::mark_all_unlisted() {
+  removal_candidates_.clear();
   for (std::size_t h = 0; h < hosts.size(); ++h) {
     hosts[h].running = hosts[h].listed = false;
-    unsettled_.push_back(h);
+    removal_candidates_.push_back(h);
   }
 }
 
-std::vector<std::size_t> Fleet::forget_gone(const std::vector<KindSettings>& kinds) {
+std::vector<std::size_t> Fleet::remove_gone(const std::vector<KindSettings>& kinds) {
   std::vector<std::size_t> gone;
-  std::ranges::sort(unsettled_);  // identical events must lead to identical actions
-  std::erase_if(unsettled_, [&](std::size_t place) {
-    const Host& h = hosts[place];
-    if (h.listed || find(h.id) != place) return true;
+  std::ranges::sort(removal_candidates_);  // identical events must lead to identical actions
+  std::erase_if(removal_candidates_, [&](std::size_t index) {
+    const Host& h = hosts[index];
+    if (h.listed || find(h.id) != index) return true;
     if (h.in_flight > 0) return false;
-    gone.push_back(place);
+    gone.push_back(index);
     host_index_.erase(h.id);
-    idle.erase({h.last_end, place});
-    Lane& lane = lanes[h.lane];
-    std::erase(lane.hosts, place);
-    if (lane.hosts.empty() && std::exchange(lane.active, false)) std::erase(active, h.lane);
-    Destination& d = destinations[lane.destination];
-    if (lane.hosts.empty() && kinds[d.kind].per_host_limits) {
-      std::erase(d.lanes, h.lane);
-      free_lanes_.push(h.lane);
+    idle.erase({h.last_end, index});
+    LimitGroup& group = limit_groups[h.limit_group];
+    std::erase(group.hosts, index);
+    if (group.hosts.empty() && std::exchange(group.active, false)) std::erase(active, h.limit_group);
+    Destination& d = destinations[group.destination];
+    if (group.hosts.empty() && kinds[d.kind].per_host_limits) {
+      std::erase(d.limit_groups, h.limit_group);
+      free_groups_.push(h.limit_group);
     }
     return true;
   });
@@ -100,22 +101,22 @@
   return gone;
 }
 
-void Fleet::put_away(std::size_t destination) {
+void Fleet::evict(std::size_t destination) {
   Destination& d = destinations[destination];
-  for (const std::size_t l : d.lanes) {
-    for (const std::size_t h : lanes[l].hosts) {
+  for (const std::size_t l : d.limit_groups) {
+    for (const std::size_t h : limit_groups[l].hosts) {
       host_index_.erase(hosts[h].id);
       idle.erase({hosts[h].last_end, h});
       hosts[h] = Host{};
       free_hosts_.push_back(h);
     }
-    lanes[l].hosts = {};
-    lanes[l].latencies = RecentSamples(0, {});
-    free_lanes_.push(l);
+    limit_groups[l].hosts = {};
+    limit_groups[l].latencies = RecentSamples(0, {});
+    free_groups_.push(l);
   }
   destination_index_.erase(d.id);
-  d.lanes = {};
-  d.hold = {};
+  d.limit_groups = {};
+  d.queue = {};
   free_destinations_.push_back(destination);
 }
 
@@ -127,7 +128,7 @@
   if (h.idle_connections > 0) idle.emplace(now, host);
 }
 
-void Fleet::drop_lapsed(Time now) {
+void Fleet::drop_expired_idle(Time now) {
   while (!idle.empty() && idle.begin()->first + connection_idle_ <= now) idle.erase(idle.begin());
 }
 
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -1,5 +1,4 @@
-// What the module holds of the list: hosts, the destinations that they serve, and the lanes that share a
-// limit. No decision and no tuned value is here.
+/// Hosts from the list, their destinations, and the limit groups of hosts that share a limit.
 #pragma once
 
 #include <algorithm>
@@ -17,8 +16,9 @@
 
 namespace vetchhinge {
 
-// Hosts and destinations come and go for as long as a relay lives. Places of those that have gone, and of
-// lanes that were theirs alone, are taken again; until then every index stays good.
+/// Hosts and destinations are added and removed during the whole life of a relay. The records of removed
+/// hosts and destinations, and of limit groups that only they used, are reused; until then all indices stay
+/// valid.
 class Fleet {
  public:
   explicit Fleet(Duration connection_idle) : connection_idle_(connection_idle) {}
@@ -27,56 +27,58 @@
 
   std::size_t destination_for(DestinationId id, const RateMeter& arrivals);
 
-  // A host that was not known, in a lane of its destination; `fresh` is used where it needs one.
-  std::size_t add(const HostEntry& entry, std::size_t destination, bool own_lane, const Lane& fresh);
+  /// Adds a host that was not known to a limit group of its destination; a new group starts as `fresh`.
+  std::size_t add(const HostEntry& entry, std::size_t destination, bool own_group, const LimitGroup& fresh);
 
-  // As the list tells of one, and before a whole list, which leaves out what has gone.
-  void told(std::size_t host, HostState state);
-  void none_told();
+  /// Applies the state from the list. Before a whole list all hosts are marked as unlisted.
+  void update_state(std::size_t host, HostState state);
+  void mark_all_unlisted();
 
-  // Gone from the list, with no call out: nothing names it any more, and it must not count where a
-  // destination's budget is shared out among its hosts. Returns their places, which stay what they were until
-  // add() takes them. It looks only at those that a list told or left out since.
-  std::vector<std::size_t> forget_gone(const std::vector<KindSettings>& kinds);
+  /// Removes hosts that are no longer listed and have no call in flight; they must not count when a
+  /// destination's budget is divided among its hosts. Returns their indices, whose records stay unchanged
+  /// until add() reuses them. Checks only the hosts that a list named or left out since the last call.
+  std::vector<std::size_t> remove_gone(const std::vector<KindSettings>& kinds);
 
-  // Forgets a destination, its lanes and its hosts, none of which anything else may name. Their places are
-  // free.
-  void put_away(std::size_t destination);
+  /// Removes a destination with its limit groups and hosts, which must not be in use, and frees their
+  /// records.
+  void evict(std::size_t destination);
 
-  template <typename Is>
-  bool any_host(std::size_t destination, Is is) const {
-    return std::ranges::any_of(destinations[destination].lanes, [&](std::size_t l) {
-      return std::ranges::any_of(lanes[l].hosts, [&](std::size_t h) { return std::invoke(is, hosts[h]); });
+  template <typename Predicate>
+  bool any_host(std::size_t destination, Predicate predicate) const {
+    return std::ranges::any_of(destinations[destination].limit_groups, [&](std::size_t l) {
+      return std::ranges::any_of(limit_groups[l].hosts,
+                                 [&](std::size_t h) { return std::invoke(predicate, hosts[h]); });
     });
   }
-  bool shut_by_hand(std::size_t d) const {
-    return !any_host(d, &Host::usable) && any_host(d, [](const Host& h) { return h.by_hand; });
+  /// Returns whether no host of the destination is usable and at least one was disabled by an operator.
+  bool disabled_by_operator(std::size_t d) const {
+    return !any_host(d, &Host::usable) && any_host(d, [](const Host& h) { return h.disabled; });
   }
 
-  // Idle connections to a host, as counted here; they lapse by themselves.
+  /// Returns the number of idle connections to a host, as counted here; they expire after connection_idle.
   int idle_connections(const Host& h, Time now) const {
     return now < h.last_end + connection_idle_ ? h.idle_connections : 0;
   }
   void call_ended(std::size_t host, bool connection_kept, Time now);
-  void drop_lapsed(Time now);
+  void drop_expired_idle(Time now);
 
   std::size_t known() const { return host_index_.size(); }
   std::size_t known_destinations() const { return destination_index_.size(); }
 
   std::vector<Host> hosts;
-  std::vector<Lane> lanes;
+  std::vector<LimitGroup> limit_groups;
   std::vector<Destination> destinations;
-  std::set<std::pair<Time, std::size_t>> idle;  // hosts with idle connections, by the end of their last call
-  std::vector<std::size_t> active;              // lanes with something to judge
+  std::set<std::pair<Time, std::size_t>> idle;  // hosts with idle connections by end of their last call
+  std::vector<std::size_t> active;              // limit groups whose cap must be evaluated
 
  private:
   Duration connection_idle_;
   std::unordered_map<HostId, std::size_t> host_index_;
   std::unordered_map<DestinationId, std::size_t> destination_index_;
   std::vector<std::size_t> free_hosts_;
-  std::priority_queue<std::size_t> free_lanes_;
+  std::priority_queue<std::size_t> free_groups_;
   std::vector<std::size_t> free_destinations_;
-  std::vector<std::size_t> unsettled_;  // hosts that may have gone
+  std::vector<std::size_t> removal_candidates_;  // hosts that may be gone
 };
 
 }  // namespace vetchhinge
--- a/src/idle_age.h
+++ b/src/idle_age.h
@@ -1,4 +1,4 @@
-// How long connections to hosts of one kind may lie idle.
+/// Estimates after which idle time connections to hosts of one kind break.
 #pragma once
 
 #include <array>
@@ -8,43 +8,45 @@
 
 namespace vetchhinge {
 
-// Something between may drop idle connections unseen, earlier than the hosts say, at some of the hosts or for
-// a while only: a call on one breaks then. Connections also break by chance, whatever their age. So what
-// broke and what was answered are counted by age, new connections among them, and forgotten again: an age is
-// held to be dropped where calls above it break clearly more often than calls below. It covers any cause that
-// grows with idle time, from whenever it begins, also where some hosts go on answering. It costs a new
-// connection for each call above that age until the counts fade, also where a run of chance looked like it.
+/// Network elements may silently drop idle connections earlier than the hosts state, for some of the hosts or
+/// only for a while; the next call on such a connection breaks. Connections also break by chance at any idle
+/// time. The estimator therefore counts successful and broken calls by the idle time of their connection,
+/// including new connections, with exponential decay. It takes connections as dropped from an idle time on if
+/// calls above it break clearly more often than calls below. This covers any cause that grows with idle time,
+/// whenever it starts, also if only some hosts are affected. A series of chance failures can have the same
+/// effect; it costs a new connection for each call above that idle time until the counts have decayed.
 class IdleAge {
  public:
-  explicit IdleAge(Duration stated) : stated_(stated) {}
+  explicit IdleAge(Duration configured) : configured_(configured) {}
 
-  // Of a call on a connection that had lain idle so long; 0: a new one.
-  void answered(Time now, Duration idle, Duration took = {}) { count(now, idle, 0, took); }
-  void broke(Time now, Duration idle);
+  /// Records a call on a connection that had been idle for this time; 0: a new connection.
+  void record_success(Time now, Duration idle, Duration elapsed = {}) { record(now, idle, 0, elapsed); }
+  void record_broken(Time now, Duration idle);
 
-  // To be called every now and then: what was counted fades.
-  void judge(Time now);
+  /// Applies the decay and updates the estimates. To be called periodically.
+  void update(Time now);
 
-  // Connections that have lain idle for longer are of no use, and for work that may not be repeated.
-  Duration keep() const { return keep_; }
-  Duration keep_once() const { return keep_once_; }
+  /// Returns the longest useful idle time, and the same for work that must not be repeated.
+  Duration max_idle() const { return max_idle_; }
+  Duration max_idle_at_most_once() const { return max_idle_at_most_once_; }
 
  private:
-  static constexpr std::size_t kAges = 12;
+  static constexpr std::size_t kBuckets = 12;
   struct Calls {
     double all = 0, broken = 0;
-    double seconds = 0;  // that the answered ones took
+    double seconds = 0;  // total duration of the successful calls
   };
 
-  void count(Time now, Duration idle, int broken, Duration took);
-  void fade(Time now);
-  double setup() const;
-  Duration youngest_dropped(double excess) const;
+  void record(Time now, Duration idle, int broken, Duration elapsed);
+  void decay(Time now);
+  double connect_time() const;
+  Duration shortest_broken_idle(double excess) const;
 
-  Duration stated_;  // the hosts close idle connections after this
-  Duration keep_ = stated_, keep_once_ = stated_;
-  std::array<Calls, kAges> ages_{};  // of new connections, then by doubling age
-  Time faded_at_{};
+  Duration configured_;  // the hosts close idle connections after this time
+  Duration max_idle_ = configured_, max_idle_at_most_once_ = configured_;
+  std::array<Calls, kBuckets>
+      buckets_{};  // new connections, then idle times that double from bucket to bucket
+  Time decayed_at_{};
 };
 
 }  // namespace vetchhinge
--- a/src/parameters.h
+++ b/src/parameters.h
@@ -1,5 +1,4 @@
-// The tuned values of the decision module. "post" marks a value of the Backpressure post, "ours" the
-// project's own.
+/// Tuning constants of the decision module.
 #pragma once
 
 #include <cstddef>
@@ -11,72 +10,78 @@
 
 using namespace std::chrono_literals;
 
-// Admission and hold
-inline constexpr double kRoom = 0.96;      // share of max_open used; beyond it the door shuts blindly (ours)
-inline constexpr double kHoldShare = 0.4;  // most of that room for one destination's hold (ours)
-inline constexpr std::size_t kHoldLeast = 4;  // a hold is never bounded under this many messages (ours)
-inline constexpr double kWaitShare =
-    0.5;  // refuse when the wait would take this share of the time left (ours)
-inline constexpr double kHintSpread = 0.5;  // wait hints are spread by this share, both ways (ours)
-inline constexpr double kOutHint =
-    0.4;  // hint where all hosts are out by hand, share of the time left (ours)
-inline constexpr Duration kHintLeast =
-    300ms;  // least wait hint (ours; the post's 15 s would outlast the work)
-inline constexpr Duration kUsualMemory = 20s;   // memory of the usual rate of a destination (ours)
-inline constexpr Duration kTenantMemory = 10s;  // memory of the tenants' shares (ours)
-inline constexpr double kTenantSlack = 1.15;  // a tenant counts as over its share above this multiple (ours)
+// Admission and queues
+// Share of max_open that is used: beyond max_open the caller refuses messages whatever they are worth.
+inline constexpr double kMaxOpenShare = 0.96;
+// Longest queue of one destination, as a share of that number, and the length that is always allowed.
+inline constexpr double kMaxQueueShare = 0.4;
+inline constexpr std::size_t kMinQueueBound = 4;
+// A message is refused if its wait would take more than this share of the time that is left to it.
+inline constexpr double kMaxWaitShare = 0.5;
+inline constexpr double kWaitHintJitter = 0.5;  // relative, both ways
+// Wait hint while an operator has disabled all hosts, as a share of the time left.
+inline constexpr double kDisabledWaitHintShare = 0.4;
+inline constexpr Duration kMinWaitHint = 300ms;  // a hint of 15 s would outlast the messages
+inline constexpr Duration kBaselineRateMemory = 20s;
+inline constexpr Duration kTenantRateMemory = 10s;
+inline constexpr double kTenantOverShareFactor = 1.15;  // above this multiple a tenant is over its share
 
 // Dispatch
-inline constexpr int kTimeForUntried =
-    2;  // expected latencies: with less time left it is not put first any more (ours)
-inline constexpr double kGatherShare = 0.06;  // share of the aim that a batch may wait to fill (ours)
-inline constexpr double kGuessShare = 0.2;  // latency taken for a destination never seen, share of aim (ours)
-inline constexpr double kTimeoutP95 = 4.0;  // time-out, multiple of p95 (ours)
-inline constexpr double kTimeoutAim = 1.0;  // and at least this share of the aim (ours)
-inline constexpr double kTimeoutOnce = 2.0;   // multiple of that for work that may not be repeated (ours)
-inline constexpr double kTimeoutShort = 0.6;  // multiple of it where no slot is left (ours)
-inline constexpr double kWindowShare = 0.6;   // time-out of keyed work, most of the key's window (ours)
-inline constexpr double kFewRelays = 4.0;     // so few relays may all keep idle connections to a host (ours)
-inline constexpr double kThriftyFor =
-    4.0;  // time that hosts keep them, multiple: so long a full table counts (ours)
-inline constexpr double kKeepLatencies =
-    12.0;  // else kept where calls come within this multiple of latency (ours)
-inline constexpr double kBatchWeight =
-    0.1;  // weight of each further message in a call on a cold budget (ours)
+// A recovered message that was never tried loses its precedence with less time left than this multiple of the
+// expected latency.
+inline constexpr int kUntriedMinLatencies = 2;
+inline constexpr double kBatchWaitShare = 0.06;      // share of the aim for which a batch may wait to fill
+inline constexpr double kDefaultLatencyShare = 0.2;  // latency of an unknown destination, share of the aim
+inline constexpr double kTimeoutP95Factor = 4.0;     // timeout, multiple of p95
+inline constexpr double kTimeoutAimShare = 1.0;      // and at least this share of the aim
+inline constexpr double kTimeoutAtMostOnceFactor = 2.0;  // longer for work that must not be repeated
+inline constexpr double kTimeoutLastSlotFactor = 0.6;    // shorter while no slot is free
+inline constexpr double kMaxTimeoutWindowShare = 0.6;    // longest timeout of keyed work, share of its window
+inline constexpr double kFewRelays = 4.0;  // up to this number all relays may keep idle connections to a host
+// Connections are conserved for this multiple of the time that hosts keep idle connections: for so long a
+// full connection table matters.
+inline constexpr double kConserveConnectionsFactor = 4.0;
+// While connections are conserved they are kept where calls follow within this multiple of the latency.
+inline constexpr double kKeepConnectionLatencies = 12.0;
+// Part of a host's slow start budget that each further message of a call uses.
+inline constexpr double kBatchedMessageBudget = 0.1;
 
 // Outcomes and health
-inline constexpr int kOpenAfter = 4;  // weight of failures in a row that opens a host's circuit (ours)
-inline constexpr int kFailed = 2;     // weight of one (ours)
-inline constexpr int kBroken = 1;     // and of a call that broke: connections break by chance too (ours)
-inline constexpr Duration kProbeFirst = 500ms;    // pause of an open circuit (ours)
-inline constexpr double kProbeJitter = 0.9;       // spread of these pauses, both ways (ours)
-inline constexpr double kStallP95 = 3.0;          // a call out for this multiple of p95 is overdue (ours)
-inline constexpr double kStallAim = 0.3;          // and at least this share of the aim (ours)
-inline constexpr Duration kWaitMargin = 2ms;      // told waits are rounded to whole milliseconds (ours)
-inline constexpr double kBackoffShare = 0.25;     // first pause, share of own usual time between calls (ours)
-inline constexpr Duration kBackoffLeast = 250ms;  // and at least so long; at most one aim (ours)
-inline constexpr double kToldShare = 0.5;         // of such a pause, after a told wait (ours)
-inline constexpr double kBackoffJitter = 0.5;     // spread of these pauses, both ways (ours)
-inline constexpr double kTurnShare = 0.5;    // near a limit: most, share of the time between own calls (ours)
-inline constexpr int kTurnMost = 4;          // and multiple of the aim (ours)
-inline constexpr int kBackoffDoublings = 3;  // how often it doubles (ours)
-inline constexpr int kShutRefusals = 3;  // refusals in a row, over kShutSpan, that count as an outage (ours)
-inline constexpr int kSeldomRefusals = 2;      // the same where fewer than one call comes in kShutSpan (ours)
-inline constexpr Duration kShutSpan = 2500ms;  // see above; longer than a limit's usual span (ours)
-inline constexpr double kJitter = 0.25;        // spread of pauses, both ways (ours)
-inline constexpr double kArrivalShare =
-    0.7;  // of what arrives, where few calls have been accepted yet (ours)
-inline constexpr double kOwnLeast =
-    3.0;  // calls a second of all relays; an own rate is at least its part (ours)
-inline constexpr double kAgainShare =
-    0.4;  // of such a pause, rest of a message after a failed attempt (ours)
-inline constexpr Duration kWindowMargin = 100ms;  // a key's window is held to end so much earlier (ours)
+inline constexpr int kCircuitOpenWeight = 4;  // weight of consecutive failures that opens a host's circuit
+inline constexpr int kFailureWeight = 2;
+inline constexpr int kBrokenConnectionWeight = 1;      // less: connections also break by chance
+inline constexpr Duration kProbePause = 500ms;         // pause of an open circuit
+inline constexpr double kProbeJitter = 0.9;            // relative, both ways
+inline constexpr double kOverdueP95Factor = 3.0;       // a call in flight for this multiple of p95 is overdue
+inline constexpr double kOverdueAimShare = 0.3;        // and at least this share of the aim
+inline constexpr Duration kServerBackoffMargin = 2ms;  // requested waits are rounded to whole milliseconds
+inline constexpr double kBackoffIntervalShare = 0.25;  // first backoff, share of the time between own calls
+inline constexpr Duration kMinBackoff = 250ms;         // the longest is one aim
+inline constexpr double kBackoffShareAfterWait = 0.5;  // share of that backoff after a requested wait
+inline constexpr double kBackoffJitter = 0.5;          // relative, both ways
+inline constexpr double kQuotaPauseShare = 0.5;        // near a limit: share of the time between own calls
+inline constexpr int kMaxQuotaPauseAims = 4;           // and at most this multiple of the aim
+inline constexpr int kMaxBackoffDoublings = 3;
+// Consecutive rejections over kOutageRejectionSpan that count as an outage, and the same where fewer than one
+// call is made in that time. It is longer than the usual period of a rate limit.
+inline constexpr int kOutageRejections = 3;
+inline constexpr int kOutageRejectionsRareCalls = 2;
+inline constexpr Duration kOutageRejectionSpan = 2500ms;
+inline constexpr double kPauseJitter = 0.25;  // relative, both ways
+// Share of the arrival rate that is used where few calls have been accepted yet.
+inline constexpr double kArrivalRateShare = 0.7;
+// Calls per second of all relays together; the rate of one relay counts as at least its part of this.
+inline constexpr double kMinTotalRate = 3.0;
+// Pause of a message after a failed attempt, share of a backoff.
+inline constexpr double kRetryPauseShare = 0.4;
+inline constexpr Duration kWindowMargin = 100ms;  // a key's window counts as ended this much earlier
 
 // Expiry, timers
-inline constexpr Duration kExpiryMargin = 15ms;  // final failure so long before the deadline (ours)
-inline constexpr Duration kHeartbeat = 20ms;  // between looks at waits and budgets while work is held (ours)
+inline constexpr Duration kExpiryMargin = 15ms;  // the final failure is reported this early
+inline constexpr Duration kQueuedPollInterval =
+    20ms;  // between checks of pauses and budgets with work queued
 
 // Calls
-inline constexpr std::uint64_t kEarlierCall = 1ULL << 63;  // marks those that an earlier process numbered
+inline constexpr std::uint64_t kPredecessorCallFlag = 1ULL << 63;  // in call numbers of previous processes
 
 }  // namespace vetchhinge
--- a/src/recent.h
+++ b/src/recent.h
@@ -1,4 +1,4 @@
-// Measuring aids for the decision module. Mechanism only: every figure comes from the caller.
+/// Recent samples and event rates for the decision module.
 #pragma once
 
 #include <algorithm>
@@ -10,19 +10,19 @@
 
 namespace vetchhinge {
 
-// The last samples of a value, bounded by number and age, with their quantiles.
+/// The most recent samples of a value, bounded by number and age, with their quantiles.
 class RecentSamples {
  public:
-  RecentSamples(std::size_t most, Duration span) : most_(most), span_(span) {}
+  RecentSamples(std::size_t max_samples, Duration max_age) : max_samples_(max_samples), max_age_(max_age) {}
 
   void add(Time now, double value) {
     samples_.push_back({now, value});
-    if (samples_.size() > most_) samples_.erase(samples_.begin());
+    if (samples_.size() > max_samples_) samples_.erase(samples_.begin());
     sorted_.clear();
   }
 
   void trim(Time now) {
-    const auto old = [&](const Sample& s) { return s.at + span_ < now; };
+    const auto old = [&](const Sample& s) { return s.at + max_age_ < now; };
     const auto kept = std::find_if_not(samples_.begin(), samples_.end(), old);
     if (kept == samples_.begin()) return;
     samples_.erase(samples_.begin(), kept);
@@ -37,13 +37,14 @@
   };
   const std::vector<Sample>& samples() const { return samples_; }
 
-  // Of all samples; sorted once for all questions until another sample comes.
+  /// Returns a quantile of all samples. They are sorted once and again after the next change.
   double quantile(double q) const {
     if (sorted_.size() != samples_.size()) sorted_ = newest_sorted(samples_.size());
     return between(sorted_, q);
   }
 
-  // Of the `newest` samples, of which there must be so many; linear between order statistics; 0 for none.
+  /// Returns a quantile of the `newest` samples (at most size()), interpolated linearly between order
+  /// statistics; 0 if there are none.
   double quantile(double q, std::size_t newest) const { return between(newest_sorted(newest), q); }
 
  private:
@@ -66,44 +67,44 @@
 
   std::vector<Sample> samples_;
   mutable std::vector<double> sorted_;
-  std::size_t most_;
-  Duration span_;
+  std::size_t max_samples_;
+  Duration max_age_;
 };
 
-// Events that a meter has forgotten but for so little count for nothing (ours).
+/// Decayed number of events below which a meter counts as empty.
 constexpr double kNegligibleEvents = 0.05;
 
-// Events a second, forgetting older ones exponentially; unbiased from the first second on.
+/// Events per second with exponential decay, unbiased from the first second on.
 class RateMeter {
  public:
   RateMeter(Duration memory, Time start) : memory_(memory), start_(start), last_(start) {}
 
-  // From now on the rate is 0 once no more than that is left of its events. A destination that is known again
-  // after a rest then has the same rates as one that was known all along.
-  void ignore_under(double events) { negligible_ = events; }
+  /// Sets the decayed number of events below which the rate is 0. A destination that was evicted while idle
+  /// then has the same rates as one that was kept all the time.
+  void ignore_below(double events) { negligible_ = events; }
 
   void add(Time now, double amount) {
     decay(now);
     sum_ += amount;
   }
 
-  // As if events had come at this rate for as long as is remembered.
+  /// Sets the state to that after a long time of events at this rate.
   void start_at(Time now, double per_second) {
-    constexpr int kLongAgo = 20;  // memories: e^-20 of the rate is missing
-    start_ = now - kLongAgo * memory_;
+    constexpr int kTimeConstants = 20;  // e^-20 of the rate is missing
+    start_ = now - kTimeConstants * memory_;
     last_ = now;
     sum_ = per_second * seconds(memory_);
   }
 
-  // Of the events added, what is not forgotten.
-  double left(Time now) const { return sum_ * std::exp(-seconds(now - last_) / seconds(memory_)); }
+  /// Returns the decayed number of events.
+  double remaining(Time now) const { return sum_ * std::exp(-seconds(now - last_) / seconds(memory_)); }
 
-  // `least` guards the first moments, when little time has been watched.
-  double per_second(Time now, Duration least) {
+  /// Returns the rate over at least `min_window`, which avoids extreme values shortly after the start.
+  double per_second(Time now, Duration min_window) {
     decay(now);
     const double tau = seconds(memory_);
-    const double watched = std::max(seconds(now - start_), seconds(least));
-    return sum_ / (tau * (1 - std::exp(-watched / tau)));
+    const double observed = std::max(seconds(now - start_), seconds(min_window));
+    return sum_ / (tau * (1 - std::exp(-observed / tau)));
   }
 
  private:
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,4 +1,3 @@
-// The check of settings: what cannot hold is named and refused at the start.
 #include "settings.h"
 
 #include <algorithm>
@@ -12,8 +11,8 @@
 
 using namespace std::chrono_literals;
 
-void require(bool holds, const char* field) {
-  if (!holds) throw std::invalid_argument(std::string("invalid setting: ") + field);
+void require(bool valid, const char* field) {
+  if (!valid) throw std::invalid_argument(std::string("invalid setting: ") + field);
 }
 
 }  // namespace
@@ -26,10 +25,10 @@
   require(s.start_capacity > 0 && s.start_capacity <= 1, "start_capacity");
   require(s.overload_factor > 0 && std::isfinite(s.overload_factor), "overload_factor");
   require(s.over_share_worth >= 0 && s.over_share_worth <= 1, "over_share_worth");
-  const Duration spans[] = {s.overload_window, s.slow_start_duration, s.max_wait_hint,
-                            s.connection_idle, s.ordered_key_delay,   s.tick};
-  require(*std::min_element(std::begin(spans), std::end(spans)) >= 0us, "a span of time under zero");
-  require(!s.list_on_request || s.list_request_interval > 0us, "list_within");
+  const Duration durations[] = {s.overload_window, s.slow_start_duration, s.max_wait_hint,
+                                s.connection_idle, s.ordered_key_delay,   s.tick};
+  require(*std::min_element(std::begin(durations), std::end(durations)) >= 0us, "a negative duration");
+  require(!s.list_on_request || s.list_request_interval > 0us, "list_within");  // name of the setting
   require(!s.classes.empty(), "classes");
   require(!s.kinds.empty(), "kinds");
   for (const ClassSettings& c : s.classes) {
--- a/src/working_set.h
+++ b/src/working_set.h
@@ -1,5 +1,6 @@
-// Which destinations are put away while more are known than the settings allow: those of which a new record
-// would decide the same, longest at rest first. Where none may go the bound is exceeded.
+/// Selects the destinations to evict while more are known than Settings::max_destinations allows: those for
+/// which a new record would lead to the same decisions, longest at rest first. If there are none, the bound
+/// is exceeded.
 #pragma once
 
 #include <cstddef>
@@ -13,15 +14,15 @@
 
 class WorkingSet {
  public:
-  // A destination that was not known.
+  /// Adds a destination that was not known.
   void added(std::size_t destination);
 
-  // Those to put away, at a tick. Each look costs the same, and there are no more of them than a few hundred
-  // and two for each destination that was added since the last tick.
-  std::vector<std::size_t> surplus(const Fleet& fleet, const Settings& s, Time now);
+  /// Returns the destinations to evict at a tick. All checks cost the same, and a tick makes a few hundred of
+  /// them and two for each destination that was added since the last tick.
+  std::vector<std::size_t> select_evictions(const Fleet& fleet, const Settings& s, Time now);
 
  private:
-  std::set<std::pair<Time, std::size_t>> looks_;  // when each destination is to be looked at
+  std::set<std::pair<Time, std::size_t>> checks_;  // next check of each destination
   std::size_t added_ = 0;
 };
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,3 +1,4 @@
+/// Tests of the conversion between lines of the wire and types of the decision module.
 #include "codec.h"
 
 #include <gtest/gtest.h>
@@ -67,7 +68,7 @@
   EXPECT_EQ(o.report->share_left, 0.25);
 }
 
-// Zones bear one number each, whether the settings or a list name them first.
+// A zone has the same number whether the settings or a list name it first.
 TEST(Codec, TheOwnZoneHasTheNumberThatListsGiveIt) {
   const std::string line =
       "NEW_INSTANCE entropy=7 allowed.connIdle=9000 allowed.maxAttempts=4 allowed.maxOpen=40 "
--- a/tests/embed_installed.sh
+++ b/tests/embed_installed.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# A program outside the tree finds the installed package and links against it.
+# Tests that a program outside the source tree can find the installed package and link against it.
 set -eu
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
@@ -19,7 +19,7 @@
   try {
     vetchhinge::Sender sender(vetchhinge::Settings{});
   } catch (const std::invalid_argument&) {
-    return 0;  // settings without classes are refused
+    return 0;  // settings without classes are invalid
   }
   return 1;
 }
--- a/tests/fleet_limit_test.cpp
+++ b/tests/fleet_limit_test.cpp
@@ -1,5 +1,5 @@
-// What a destination with a limit gets from all relays of a fleet: each is one Sender, stepped with given
-// events.
+/// Tests of the calls that a rate-limited destination gets from all relays together. Each relay is one Sender
+/// that is stepped with given events.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -39,19 +39,19 @@
   return s;
 }
 
-using Answer = std::function<Outcome(Time)>;  // to a call that comes at that moment
+using Answer = std::function<Outcome(Time)>;  // to a call at that time
 
-// Relays that get messages at a steady rate each. Every call is answered 100 ms after it was sent.
-class Fleet {
+// Relays with a steady rate of messages each. Every call is answered 100 ms after it was sent.
+class RelayFleet {
  public:
-  Fleet(std::uint32_t relays, double messages_per_second, Answer answer) : answer_(std::move(answer)) {
+  RelayFleet(std::uint32_t relays, double messages_per_second, Answer answer) : answer_(std::move(answer)) {
     for (std::uint32_t i = 0; i < relays; ++i) {
       members_.push_back(
           {Sender(settings(relays, 1 + i)), messages_per_second, i / double(relays), {}, {}, 0});
     }
   }
 
-  // What has that place gets so many messages a second.
+  // Sets the messages per second of one relay.
   void load(std::size_t member, double messages_per_second) { members_[member].rate = messages_per_second; }
 
   void run(Duration span) {
@@ -60,7 +60,7 @@
     }
   }
 
-  // Calls since the last question, a second of `span`.
+  // Returns the calls since the last query, per second of `span`.
   double calls(Duration span) {
     double all = 0;
     for (const auto& [member, count] : counts_) all += count;
@@ -68,7 +68,7 @@
     return all / std::chrono::duration<double>(span).count();
   }
   std::size_t caller() const { return caller_; }  // the member whose call is being answered
-  int expired() const { return expired_; }        // messages held until their time was up
+  int expired() const { return expired_; }        // messages that expired in the queue
   double calls_of(std::size_t member, Duration span) {
     return counts_[member] / std::chrono::duration<double>(span).count();
   }
@@ -77,7 +77,7 @@
   struct Member {
     Sender sender;
     double rate;
-    double due;  // messages that have come together
+    double due;  // accumulated messages that have not been submitted
     std::multimap<Time, Outcome> answers;
     std::map<MessageId, std::uint32_t> attempts;
     std::uint32_t last;
@@ -132,10 +132,10 @@
   return o;
 }
 
-// Refused calls may count: as long as more come than the limit allows, none is accepted.
+// Rejected calls may count against the limit: nothing is accepted while more calls arrive than it allows.
 TEST(FleetLimit, CallsOfAHundredFallUnderALimitThatHasNoneLeft) {
   for (const Duration wait : {0ms, 700ms}) {
-    Fleet fleet(100, 1.4, [&](Time) { return full(0, 50, wait); });
+    RelayFleet fleet(100, 1.4, [&](Time) { return full(0, 50, wait); });
     fleet.run(3s);
     fleet.calls(3s);
     fleet.run(4s);
@@ -145,9 +145,9 @@
   }
 }
 
-TEST(FleetLimit, ToldToWaitTogetherTheyDoNotComeTogether) {
-  Fleet fleet(100, 1.0, [&](Time now) {
-    return now < Time(4s) ? full(0, 50, Time(4s) - now) : full(0, 50);  // to the end of a span
+TEST(FleetLimit, RelaysWithTheSameServerBackoffDoNotReturnTogether) {
+  RelayFleet fleet(100, 1.0, [&](Time now) {
+    return now < Time(4s) ? full(0, 50, Time(4s) - now) : full(0, 50);  // to the end of a limit period
   });
   fleet.run(4s);
   fleet.calls(4s);
@@ -155,11 +155,11 @@
   EXPECT_LE(fleet.calls(1s), 40);
 }
 
-// Half as much again is asked for as the limit allows in each second.
+// The demand is half as much again as the limit allows per second.
 TEST(FleetLimit, NearTheLimitTheyUseItAndFewAreRefused) {
   std::map<std::int64_t, int> taken;
   int accepted = 0, refused = 0;
-  Fleet fleet(100, 0.75, [&](Time now) {
+  RelayFleet fleet(100, 0.75, [&](Time now) {
     int& count = taken[now.time_since_epoch() / 1s];
     const bool room = count < 50;
     ++(room ? accepted : refused);
@@ -173,10 +173,11 @@
   EXPECT_LT(refused, accepted / 2);
 }
 
-// A limit that is full again soon after it was used up says little: freed by it, all bring their backlog.
+// A limit that is available again soon after it was used up shows little: without restraint all relays would
+// send their backlog at once.
 TEST(FleetLimit, WhatIsLeftAgainIsNotUsedUpAtOnce) {
   double left = 0;
-  Fleet fleet(100, 1.0, [&](Time) { return left > 0 ? delivered(left, 50) : full(left, 50); });
+  RelayFleet fleet(100, 1.0, [&](Time) { return left > 0 ? delivered(left, 50) : full(left, 50); });
   fleet.run(6s);
   left = 1;
   fleet.run(1s);
@@ -186,12 +187,13 @@
   fleet.run(15s);
   fleet.calls(15s);
   fleet.run(2s);
-  EXPECT_GT(fleet.calls(2s), 90);  // and yet it is all theirs in the end
+  EXPECT_GT(fleet.calls(2s), 90);  // in the end they use all of it
 }
 
-// What is told of a small bucket is old: refused with much of it left, all pressed on.
-TEST(FleetLimit, ARefusalCountsMoreThanTheShareThatIsTold) {
-  Fleet fleet(100, 1.4, [&](Time) { return full(0.6, 50); });
+// Reports of a small bucket are outdated: rejected with much of it reported as left, all relays used to keep
+// sending.
+TEST(FleetLimit, ARejectionCountsMoreThanTheReportedShare) {
+  RelayFleet fleet(100, 1.4, [&](Time) { return full(0.6, 50); });
   fleet.run(3s);
   fleet.calls(3s);
   fleet.run(2s);
@@ -199,7 +201,7 @@
 }
 
 TEST(FleetLimit, FarFromTheLimitNothingIsHeldBack) {
-  Fleet fleet(100, 0.5, [&](Time) { return delivered(0.8, 80); });
+  RelayFleet fleet(100, 0.5, [&](Time) { return delivered(0.8, 80); });
   fleet.run(5s);
   fleet.calls(5s);
   fleet.run(10s);
@@ -208,7 +210,7 @@
 
 TEST(FleetLimit, CallsFollowALimitThatIsLowered) {
   double left = 0.8, limit = 80;
-  Fleet fleet(100, 0.5, [&](Time) { return delivered(left, limit); });
+  RelayFleet fleet(100, 0.5, [&](Time) { return delivered(left, limit); });
   fleet.run(20s);
   left = 0;
   limit = 20;
@@ -218,9 +220,9 @@
   EXPECT_LT(fleet.calls(4s), 25);
 }
 
-TEST(FleetLimit, WhoCarriesMoreHasAGreaterPart) {
+TEST(FleetLimit, ABusierRelayHasALargerQuotaShare) {
   double left = 0.8;
-  Fleet fleet(100, 0.2, [&](Time) { return delivered(left, 50); });
+  RelayFleet fleet(100, 0.2, [&](Time) { return delivered(left, 50); });
   fleet.load(0, 10);
   fleet.run(20s);
   left = 0;
@@ -230,10 +232,11 @@
   EXPECT_GT(fleet.calls_of(0, 5s), 4);
 }
 
-// A few carry nearly all, most of it above an even part. Refused once, they must not all fall back to that.
-TEST(FleetLimit, WhoUsedMoreThanItsPartHalvesThatWhenRefused) {
+// A few relays carry nearly all traffic, most of it above an even share. One rejection must not reduce all
+// of them to that share.
+TEST(FleetLimit, QuotaUseAboveTheShareIsHalvedWhenRejected) {
   bool refuses = true;
-  Fleet fleet(100, 0.02, [&](Time) { return refuses ? full(0, 50) : delivered(1, 50); });
+  RelayFleet fleet(100, 0.02, [&](Time) { return refuses ? full(0, 50) : delivered(1, 50); });
   for (std::size_t hot = 0; hot < 10; ++hot) fleet.load(hot, 4);
   fleet.run(2s);
   refuses = false;
@@ -246,44 +249,44 @@
   refuses = false;
   fleet.calls(300ms);
   fleet.run(1s);
-  EXPECT_GT(fleet.calls(1s), 40);  // 30 where all fall to an even part
+  EXPECT_GT(fleet.calls(1s), 40);  // 30 if all fall to an even share
   fleet.run(1s);
-  EXPECT_LT(fleet.calls(1s), 55);  // and then 61 come together
+  EXPECT_LT(fleet.calls(1s), 55);  // otherwise 61 arrive together
 }
 
-// What is not asked for leaves no sign of what may be used: the first burst would be everybody's.
-TEST(FleetLimit, APartGrowsOnlyWhereItHoldsCallsBack) {
+// Unused quota shows nothing about demand: otherwise all relays would use it in the first burst.
+TEST(FleetLimit, QuotaUseGrowsOnlyWhereItDelaysCalls) {
   double left = 0;
-  Fleet fleet(100, 0.1, [&](Time) { return delivered(left, 50); });
+  RelayFleet fleet(100, 0.1, [&](Time) { return delivered(left, 50); });
   fleet.run(15s);
   left = 1;
   fleet.run(20s);
   for (std::size_t all = 0; all < 100; ++all) fleet.load(all, 3);
   fleet.calls(20s);
   fleet.run(1s);
-  EXPECT_LT(fleet.calls(1s), 230);  // 300 where it grows all the time
+  EXPECT_LT(fleet.calls(1s), 230);  // 300 if it grows all the time
 }
 
-// Held until it expires, a message keeps its client from coming again, and earns nothing.
-TEST(FleetLimit, WhatItsPartCannotCarryIsRefusedAtOnce) {
-  Fleet fleet(100, 0.01, [&](Time) { return delivered(0, 10); });
+// A message that is queued until it expires keeps its client from retrying, and has no value.
+TEST(FleetLimit, WhatItsQuotaShareCannotCarryIsRefusedAtOnce) {
+  RelayFleet fleet(100, 0.01, [&](Time) { return delivered(0, 10); });
   for (std::size_t hot = 0; hot < 10; ++hot) fleet.load(hot, 1.5);
   fleet.run(30s);
-  EXPECT_LT(fleet.expired(), 20);  // 260 where the cap alone counts
+  EXPECT_LT(fleet.expired(), 20);  // 260 with the cap as the only limit
 }
 
-// One message each at relays that may call once in ten seconds: no hold is too short for its wait to be too
-// long.
-TEST(FleetLimit, AFewHeldAreRefusedTooWhereCallsAreSeldom) {
-  Fleet fleet(100, 0.3, [&](Time) { return full(0, 10); });
+// One message each at relays that may call once in ten seconds: even in the shortest queue the wait can be
+// too long.
+TEST(FleetLimit, AFewQueuedAreRefusedTooWhereCallsAreRare) {
+  RelayFleet fleet(100, 0.3, [&](Time) { return full(0, 10); });
   fleet.run(30s);
-  EXPECT_LT(fleet.expired(), 100);  // 660 where up to four may always wait
+  EXPECT_LT(fleet.expired(), 100);  // 660 if up to four may always wait
 }
 
-// Taken while its part was greater, it is given back as soon as that no longer carries it.
-TEST(FleetLimit, WhatIsHeldIsGivenBackOnceItsPartNoLongerCarriesIt) {
+// Messages that were accepted under a larger quota share are refused as soon as it is too small for them.
+TEST(FleetLimit, WhatIsQueuedIsRefusedOnceTheQuotaShareNoLongerCarriesIt) {
   double left = 1, limit = 400;
-  Fleet fleet(100, 0.01, [&](Time) { return left > 0 ? delivered(left, limit) : full(left, limit); });
+  RelayFleet fleet(100, 0.01, [&](Time) { return left > 0 ? delivered(left, limit) : full(left, limit); });
   for (std::size_t hot = 0; hot < 10; ++hot) fleet.load(hot, 2);
   fleet.run(10s);
   left = 0;
@@ -295,7 +298,7 @@
 }
 
 TEST(FleetLimit, TwoRelaysShareALimitInHalves) {
-  Fleet fleet(2, 30, [&](Time) { return full(0, 20); });
+  RelayFleet fleet(2, 30, [&](Time) { return full(0, 20); });
   fleet.run(5s);
   fleet.calls(5s);
   fleet.run(10s);
@@ -304,10 +307,10 @@
   EXPECT_GT(calls, 4);
 }
 
-// Missing, zero, negative, non-finite or absurd: as if nothing were told.
-TEST(FleetLimit, WhatCannotBeALimitIsNotTold) {
+// Missing, zero, negative, non-finite or absurd values count as no report.
+TEST(FleetLimit, WhatCannotBeALimitIsIgnored) {
   const auto calls = [](std::optional<LimitReport> report) {
-    Fleet fleet(20, 1.0, [&](Time) {
+    RelayFleet fleet(20, 1.0, [&](Time) {
       Outcome o;
       o.report = report;
       return o;
@@ -327,7 +330,7 @@
 
 TEST(FleetLimit, AReportIsForgottenOnceItIsOld) {
   bool tells = true;
-  Fleet fleet(20, 1.0, [&](Time) { return tells ? delivered(0, 2) : Outcome{}; });
+  RelayFleet fleet(20, 1.0, [&](Time) { return tells ? delivered(0, 2) : Outcome{}; });
   fleet.run(5s);
   tells = false;
   fleet.run(15s);
@@ -336,32 +339,33 @@
   EXPECT_GT(fleet.calls(10s), 18);
 }
 
-// Relays that see a destination fail got `usual` calls a second through to it before. The most that came
-// within the rule's time, over what it stands then: N calls that the settings allow it, and for chance 2 x
-// root of N and 2 more, 3 x root of N and 3 where N is under 30. As in the rule, it counts where over two
-// thirds came from relays that had been told.
-double pushed(std::uint32_t relays, double usual, const Outcome& out) {
+// Returns the most calls that a returning destination got within the window of the overload rule, relative
+// to the bound of that rule. Before the outage it accepted `usual` calls per second. The bound is N calls,
+// which the settings allow, plus 2 sqrt(N) + 2 for chance, or 3 sqrt(N) + 3 where N is below 30. As in the
+// rule, calls count where more than two thirds of them came from relays that saw the outage.
+double overload_ratio(std::uint32_t relays, double usual, const Outcome& out) {
   constexpr double kCapacity = 1.2;  // multiple of the usual rate
   const Time down(30s), back(42s);
   const Settings s = settings(relays, 1);
   std::deque<std::pair<Time, std::size_t>> came;
-  std::set<std::size_t> told;
+  std::set<std::size_t> informed;
   double most = 0;
   int tried = 0;  // after its return
-  const Fleet* calling = nullptr;
-  Fleet fleet(relays, usual / relays, [&](Time now) {
+  const RelayFleet* calling = nullptr;
+  RelayFleet fleet(relays, usual / relays, [&](Time now) {
     if (now >= down && now < back) {
-      told.insert(calling->caller());
+      informed.insert(calling->caller());
       return out;
     }
     tried += now >= back ? 1 : 0;
     came.emplace_back(now, calling->caller());
     while (came.front().first + s.overload_window < now) came.pop_front();
-    const auto by_told = std::ranges::count_if(came, [&](const auto& c) { return told.contains(c.second); });
-    if (3 * by_told <= 2 * std::ssize(came)) return Outcome{};
-    const double warm = std::chrono::duration<double>(now - back) / s.slow_start_duration;
-    if (warm < 0 || warm >= 1) return Outcome{};
-    const double capacity = kCapacity * usual * std::lerp(s.start_capacity, 1, warm);
+    const auto by_informed =
+        std::ranges::count_if(came, [&](const auto& c) { return informed.contains(c.second); });
+    if (3 * by_informed <= 2 * std::ssize(came)) return Outcome{};
+    const double progress = std::chrono::duration<double>(now - back) / s.slow_start_duration;
+    if (progress < 0 || progress >= 1) return Outcome{};
+    const double capacity = kCapacity * usual * std::lerp(s.start_capacity, 1, progress);
     const double n = s.overload_factor * capacity * std::chrono::duration<double>(s.overload_window).count();
     const double slack = n < 30 ? 3 * std::sqrt(n) + 3 : 2 * std::sqrt(n) + 2;
     most = std::max(most, static_cast<double>(came.size()) / (n + slack));
@@ -373,21 +377,23 @@
   return most;
 }
 
-void stays_in_its_bound(const Outcome& out) {
+void expect_within_bound(const Outcome& out) {
   for (const auto& [relays, usual] : {std::pair{30U, 1.0}, {30U, 3.0}, {30U, 30.0}, {150U, 20.0}}) {
-    EXPECT_LE(pushed(relays, usual, out), 1) << relays << " relays, " << usual << " calls a second";
+    EXPECT_LE(overload_ratio(relays, usual, out), 1) << relays << " relays, " << usual << " calls per second";
   }
 }
 
-TEST(Cold, WhatAllRelaysSendADestinationThatWasDownStaysInItsBound) {
+TEST(SlowStart, WhatAllRelaysSendADestinationThatWasDownStaysInItsBound) {
   Outcome down;
   down.result = Result::connect_failed;
-  stays_in_its_bound(down);
+  expect_within_bound(down);
 }
 
-TEST(Cold, WhatAllRelaysSendADestinationThatToldAWaitStaysInItsBound) { stays_in_its_bound(full(1, 0, 4s)); }
+TEST(SlowStart, WhatAllRelaysSendADestinationThatRequestedAWaitStaysInItsBound) {
+  expect_within_bound(full(1, 0, 4s));
+}
 
-TEST(Cold, WhatAllRelaysSendADestinationThatWasShutStaysInItsBound) { stays_in_its_bound(full(1, 0)); }
+TEST(SlowStart, WhatAllRelaysSendADestinationThatWasShutStaysInItsBound) { expect_within_bound(full(1, 0)); }
 
 }  // namespace
 }  // namespace vetchhinge
--- a/tests/policy_size.sh
+++ b/tests/policy_size.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The decision module stays readable in pieces: every file of src/ has at most 500 lines, but for policy.cpp, which is to be
-# split and may not grow; and the deploy file names files that exist, policy.cpp among them.
+# Checks that every file of src/ has at most 500 lines, except policy.cpp, which must not grow until it is split, and that
+# the deploy file names existing files, including policy.cpp.
 set -eu
 most=500
 policy_most=920
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,3 +1,4 @@
+/// Tests of the decision module through its public interface, grouped by the rules of the platform.
 #include "vetchhinge/policy.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 
 #include "recent.h"
 
-std::vector<vetchhinge::Action> first_step();  // the README's example
+std::vector<vetchhinge::Action> first_step();  // example of the README
 
 namespace vetchhinge {
 namespace {
@@ -20,7 +21,7 @@
 constexpr std::uint32_t kSafe = 0;
 constexpr std::uint32_t kKeyed = 1;
 constexpr std::uint32_t kOnce = 2;
-constexpr std::uint32_t kInTurn = 3;
+constexpr std::uint32_t kOrdered = 3;
 
 Settings settings() {
   Settings s;
@@ -51,7 +52,7 @@
   return s;
 }
 
-// Drives one Sender and keeps what it did.
+// Drives one Sender and records its actions.
 class Relay {
  public:
   explicit Relay(Settings s = settings(), std::uint32_t hosts = 1, std::uint32_t kind = 0) : sender_(s) {
@@ -84,8 +85,9 @@
     }
   }
 
-  std::vector<Action> take(std::uint32_t id, std::uint32_t cls = kSafe, std::optional<std::uint64_t> key = {},
-                           DestinationId destination = DestinationId(1)) {
+  std::vector<Action> submit(std::uint32_t id, std::uint32_t cls = kSafe,
+                             std::optional<std::uint64_t> key = {},
+                             DestinationId destination = DestinationId(1)) {
     return step({message(id, cls, key, destination)});
   }
 
@@ -115,7 +117,7 @@
   std::vector<MessageId> failed;
   int closed = 0;
   std::vector<Time> timers;
-  std::set<std::uint32_t> pending;  // sent, and not answered yet
+  std::set<std::uint32_t> pending;  // sent and not answered yet
 
  private:
   Sender sender_;
@@ -128,17 +130,17 @@
   return list;
 }
 
-// Both calls of the one host fail: its circuit opens and it counts as having had an outage.
+// Both calls of the only host fail: its circuit opens and it counts as having had an outage.
 void break_host(Relay& r, std::uint32_t id, Result result = Result::connect_failed) {
   for (int i = 0; i < 2; ++i) {
-    r.take(id + static_cast<std::uint32_t>(i));
+    r.submit(id + static_cast<std::uint32_t>(i));
     r.run_for(200ms);
     const std::uint32_t m = id + static_cast<std::uint32_t>(i);
     r.step({r.outcome(m, result), Withdrawn{MessageId(m)}});
   }
 }
 
-// Steady traffic, each call answered after 50 ms.
+// Steady traffic; each call is answered after `latency`.
 void steady(Relay& r, std::uint32_t& id, Duration d, Duration between, Duration latency = 50ms) {
   std::vector<std::pair<Time, std::uint32_t>> out;
   for (const std::uint32_t m : r.pending) out.emplace_back(r.now + latency, m);
@@ -163,10 +165,10 @@
 }
 
 // ---------------------------------------------------------------- rule 1: one final answer
-TEST(FinalAnswer, HeldWorkExpiresUnsentBeforeItsDeadline) {
+TEST(FinalAnswer, QueuedWorkExpiresUnsentBeforeItsDeadline) {
   Relay r;
   r.step({change(HostState::gone)});
-  r.take(1);
+  r.submit(1);
   r.run_for(19900ms);
   EXPECT_TRUE(r.failed.empty());
   r.run_for(95ms);
@@ -178,7 +180,7 @@
 
 TEST(FinalAnswer, WorkInFlightIsAnsweredBeforeItsDeadlineToo) {
   Relay r;
-  r.take(1, kOnce);
+  r.submit(1, kOnce);
   r.run_for(20s);
   EXPECT_EQ(r.failed, std::vector{MessageId(1)});
   r.end(1, Result::timed_out);
@@ -189,8 +191,8 @@
 
 TEST(FinalAnswer, NothingAfterWithdrawalOrDelivery) {
   Relay r;
-  r.take(1);
-  r.take(2);
+  r.submit(1);
+  r.submit(2);
   r.step({Withdrawn{MessageId(1)}, r.outcome(2, Result::delivered), Withdrawn{MessageId(2)}});
   r.end(1, Result::connect_failed);
   r.run_for(21s);
@@ -204,7 +206,7 @@
   Settings s = settings();
   s.max_attempts = 2;
   Relay r(s);
-  r.take(1, kOnce);
+  r.submit(1, kOnce);
   r.end(1, Result::not_sent);
   r.run_for(1s);
   ASSERT_EQ(r.sent(1), 2);
@@ -217,7 +219,7 @@
 TEST(Effects, WorkThatMayHaveRunOnceIsNeitherSentNorRefusedAgain) {
   for (const Result result : {Result::timed_out, Result::error, Result::reset, Result::cancelled}) {
     Relay r;
-    r.take(1, kOnce);
+    r.submit(1, kOnce);
     r.end(1, result);
     r.run_for(3s);
     EXPECT_EQ(r.sent(1), 1);
@@ -229,7 +231,7 @@
 TEST(Effects, WorkThatNeverRanIsSentAgain) {
   for (const Result result : {Result::full, Result::connect_failed, Result::not_sent}) {
     Relay r;
-    r.take(1, kOnce);
+    r.submit(1, kOnce);
     r.end(1, result);
     r.run_for(3s);
     EXPECT_EQ(r.sent(1), 2);
@@ -238,11 +240,11 @@
 
 TEST(Effects, KeyedWorkIsRepeatedOnlyWithinTheWindow) {
   Relay r;
-  r.take(1, kKeyed);
+  r.submit(1, kKeyed);
   r.run_for(2s);
   r.end(1, Result::timed_out);
   r.run_for(2s);
-  EXPECT_EQ(r.sent(1), 2);  // 4 s after the first send: inside
+  EXPECT_EQ(r.sent(1), 2);  // 4 s after the first send: within the window
   r.run_for(1500ms);
   r.end(1, Result::full);
   r.run_for(5s);
@@ -251,9 +253,9 @@
   EXPECT_EQ(r.failed, std::vector{MessageId(1)});
 }
 
-TEST(Effects, KeyedWorkHeldOverTheEndOfItsWindowFails) {
+TEST(Effects, KeyedWorkQueuedBeyondItsWindowFails) {
   Relay r;
-  r.take(1, kKeyed);
+  r.submit(1, kKeyed);
   r.end(1, Result::timed_out);
   r.step({change(HostState::gone)});
   r.run_for(4500ms);
@@ -270,7 +272,7 @@
   list.entries = {{HostId(0), DestinationId(1), ZoneId(0), 0, HostState::running, std::nullopt},
                   {HostId(1), DestinationId(1), ZoneId(1), 0, HostState::running, std::nullopt}};
   r.step({list});
-  r.take(1, kKeyed);
+  r.submit(1, kKeyed);
   const HostId first = r.sends[0].send.host;
   r.end(1, Result::error);
   r.step({change(HostState::gone, static_cast<std::uint32_t>(first))});
@@ -278,12 +280,12 @@
   EXPECT_EQ(r.sent(1), 1);
 }
 
-// A message that times out before the others of its call is still there while their connection is open: it
-// would go out again beside itself.
+// A message that times out before the others of its call may still run while their connection is open. Sent
+// again at once, it could run twice at the same time.
 TEST(Effects, WhatTimedOutAloneWaitsForTheEndOfItsCall) {
   Relay r(settings(), 1, 1);
   r.step({r.message(1, kSafe), r.message(2, kOnce), r.message(3, kSafe), r.message(4, kOnce)});
-  ASSERT_EQ(r.sends.size(), 4U) << "one call takes them all";
+  ASSERT_EQ(r.sends.size(), 4U) << "one call carries them all";
   r.run_for(2s);
   r.end(1, Result::timed_out);
   r.end(3, Result::timed_out);
@@ -296,8 +298,8 @@
   EXPECT_EQ(r.sent(1), 2);
 }
 
-// A call across zones holds its slot for longer: of hosts with equally few calls out the near one is taken,
-// also where the far one has a connection to spare.
+// A call across zones holds its slot for longer: of hosts with equally few calls in flight the one in the
+// own zone is chosen, even if the other one has an idle connection.
 TEST(Choice, TheHostInTheOwnZoneGoesFirst) {
   for (const std::uint32_t own : {0U, 1U}) {
     Settings s = settings();
@@ -306,14 +308,14 @@
     HostList list;
     for (const std::uint32_t h : {0U, 1U}) list.entries.push_back({HostId(h), DestinationId(1), ZoneId(h)});
     r.step({list});
-    r.step({r.message(1), r.message(2)});  // one to each, and both leave an idle connection
+    r.step({r.message(1), r.message(2)});  // one to each host; both leave an idle connection
     ASSERT_EQ(r.sends.size(), 2U);
     EXPECT_EQ(r.sends[0].send.host, HostId(own));
-    EXPECT_EQ(r.sends[1].send.host, HostId(1 - own)) << "fewer calls out come before nearness";
+    EXPECT_EQ(r.sends[1].send.host, HostId(1 - own)) << "fewer calls in flight take precedence over the zone";
     r.end(2, Result::delivered);
     r.end(1, Result::delivered);
     r.now += 1s;
-    r.take(3);
+    r.submit(3);
     EXPECT_EQ(r.sends.at(2).send.host, HostId(own));
   }
 }
@@ -323,7 +325,7 @@
   for (const HostState state : {HostState::draining, HostState::gone}) {
     Relay r(settings(), 2);
     r.step({change(state, 0)});
-    for (std::uint32_t i = 1; i < 6; ++i) r.take(i);
+    for (std::uint32_t i = 1; i < 6; ++i) r.submit(i);
     ASSERT_FALSE(r.sends.empty());
     for (const auto& s : r.sends) EXPECT_EQ(s.send.host, HostId(1));
   }
@@ -334,7 +336,7 @@
   HostList list;
   list.entries.push_back({HostId(1), DestinationId(1)});
   r.step({list});
-  for (std::uint32_t i = 1; i < 6; ++i) r.take(i);
+  for (std::uint32_t i = 1; i < 6; ++i) r.submit(i);
   ASSERT_FALSE(r.sends.empty());
   for (const auto& s : r.sends) EXPECT_EQ(s.send.host, HostId(1));
 }
@@ -362,19 +364,19 @@
   Relay r;
   break_host(r, 1);
   const std::size_t before = r.sends.size();
-  for (std::uint32_t i = 10; i < 30; ++i) r.take(i);
+  for (std::uint32_t i = 10; i < 30; ++i) r.submit(i);
   r.run_for(3s);
-  EXPECT_EQ(r.sends.size(), before + 1);  // one, unanswered, and nothing beside it
+  EXPECT_EQ(r.sends.size(), before + 1);  // a single unanswered call and no other
 }
 
-// Connections break by chance too, above all those that lay idle: that alone is no outage.
+// Connections, above all idle ones, also break by chance: that alone is no outage.
 TEST(Returning, TwoResetsOpenNoCircuit) {
   Relay relay;
-  relay.take(1);
+  relay.submit(1);
   relay.end(1, Result::delivered);
-  for (std::uint32_t id = 2; id <= 4; ++id) {  // the first of them on the connection that lay idle
+  for (std::uint32_t id = 2; id <= 4; ++id) {  // the first one uses the idle connection
     relay.now += 1s;
-    relay.take(id, kOnce);
+    relay.submit(id, kOnce);
     ASSERT_EQ(relay.sent(id), 1);
     relay.end(id, Result::reset);
   }
@@ -383,15 +385,15 @@
   EXPECT_EQ(relay.sent(10) + relay.sent(11), 2);
 }
 
-TEST(Returning, AColdHostIsFedOnABudget) {
+TEST(Returning, AHostInSlowStartGetsABudget) {
   Relay r;
   std::uint32_t id = 1000;
-  steady(r, id, 20s, 100ms);  // ten calls a second
+  steady(r, id, 20s, 100ms);  // ten calls per second
   break_host(r, 1);
-  std::uint32_t held = 10;
-  for (; held < 70; ++held) r.take(held);
+  std::uint32_t queued = 10;
+  for (; queued < 70; ++queued) r.submit(queued);
   r.run_for(2s);
-  // The next call is answered: the host is back. 0.2 x 2 of the usual ten a second, and a little growth.
+  // The next call is answered: the host is back. 0.2 x 2 of the usual ten per second, growing slowly.
   const std::size_t before = r.sends.size();
   steady(r, id, 3s, 1s);
   EXPECT_LE(r.sends.size() - before, 24U);
@@ -402,24 +404,24 @@
   Relay r;
   std::uint32_t id = 1000;
   steady(r, id, 20s, 100ms);
-  for (std::uint32_t i = 1; i < 20; ++i) r.take(i);
+  for (std::uint32_t i = 1; i < 20; ++i) r.submit(i);
   for (int i = 0; i < 1500; ++i) {  // 15 s in which every call fails at once
     std::vector<Event> events;
     r.now += 10ms;
     for (const std::uint32_t m : std::set(r.pending)) events.push_back(r.outcome(m, Result::connect_failed));
     r.step(events);
   }
-  for (std::uint32_t i = 10; i < 50; ++i) r.take(i);
+  for (std::uint32_t i = 10; i < 50; ++i) r.submit(i);
   const std::size_t before = r.sends.size();
   steady(r, id, 5s, 1s);
   EXPECT_GE(r.sends.size() - before, 15U);
 }
 
 // ---------------------------------------------------------------- rule 5: order
-TEST(Order, OneAtATimeInTheOrderTaken) {
+TEST(Order, OneAtATimeInOrderOfAcceptance) {
   Relay r;
-  for (std::uint32_t i = 1; i <= 3; ++i) r.take(i, kInTurn, 77);
-  r.take(4, kInTurn, 78);
+  for (std::uint32_t i = 1; i <= 3; ++i) r.submit(i, kOrdered, 77);
+  r.submit(4, kOrdered, 78);
   EXPECT_EQ(r.sent(1), 1);
   EXPECT_EQ(r.sent(2) + r.sent(3), 0);
   EXPECT_EQ(r.sent(4), 1);
@@ -430,11 +432,11 @@
 
 TEST(Order, AKeyRestsAfterATimeOut) {
   Relay r;
-  r.take(1, kInTurn, 77);
-  r.take(2, kInTurn, 77);
+  r.submit(1, kOrdered, 77);
+  r.submit(2, kOrdered, 77);
   r.step({Withdrawn{MessageId(1)}});
   r.run_for(50ms);
-  EXPECT_EQ(r.sent(2), 0);  // an attempt of the withdrawn one is still out
+  EXPECT_EQ(r.sent(2), 0);  // an attempt of the withdrawn message is still in flight
   r.end(1, Result::timed_out);
   r.run_for(90ms);
   EXPECT_EQ(r.sent(2), 0);
@@ -442,28 +444,28 @@
   EXPECT_EQ(r.sent(2), 1);
 }
 
-// Two messages of a key that ended in one step used to leave a key that was no longer there.
+// Completing two messages of a key in one step used to access a key that had already been removed.
 TEST(Order, SeveralOfAKeyMayEndTogether) {
   Relay r;
-  for (std::uint32_t i = 1; i <= 3; ++i) r.take(i, kInTurn, 77);
+  for (std::uint32_t i = 1; i <= 3; ++i) r.submit(i, kOrdered, 77);
   r.step({Withdrawn{MessageId(2)}, Withdrawn{MessageId(3)}, r.outcome(1, Result::delivered)});
-  r.take(4, kInTurn, 77);
+  r.submit(4, kOrdered, 77);
   EXPECT_EQ(r.sent(4), 1);
 }
 
 // ---------------------------------------------------------------- rule 6: waits
 TEST(Waits, BindEveryMessageToTheDestination) {
   Relay r(settings(), 2);
-  r.take(1);
+  r.submit(1);
   r.end(1, Result::full, 700ms);
-  for (std::uint32_t i = 2; i < 8; ++i) r.take(i);
+  for (std::uint32_t i = 2; i < 8; ++i) r.submit(i);
   r.run_for(700ms);
   EXPECT_EQ(r.sends.size(), 1U);
   r.run_for(300ms);
   EXPECT_GT(r.sends.size(), 1U);
 }
 
-// Messages of one call were told different waits, and only the first was heeded.
+// Outcomes of one call can request different waits; only the first used to be applied.
 TEST(Waits, TheLongestOfOneCallBinds) {
   Relay r(settings(), 1, 1);
   r.step({r.message(1), r.message(2), r.message(3), r.message(4)});
@@ -474,11 +476,11 @@
   EXPECT_EQ(r.sends.size(), 4U);
 }
 
-// ---------------------------------------------------------------- the mechanism
+// ---------------------------------------------------------------- cap, queues and paced rate
 TEST(Cap, StaysUnderThreeQuartersOfTheSlots) {
   Relay r;
   std::uint32_t id = 1;
-  for (int round = 0; round < 60; ++round) {  // always more work than the cap, all of it healthy
+  for (int round = 0; round < 60; ++round) {  // always more messages than the cap, all calls healthy
     std::vector<Event> events;
     for (std::uint32_t i = 0; i < 16; ++i) events.push_back(r.message(id++));
     const std::size_t before = r.sends.size();
@@ -494,7 +496,7 @@
     for (std::uint32_t m = id - 16; m < id; ++m) ends.push_back(Withdrawn{MessageId(m)});
     r.step(ends);
   }
-  EXPECT_GT(r.sends.size(), 400U);  // and grows over its start of a third of the slots
+  EXPECT_GT(r.sends.size(), 400U);  // it grows beyond its initial third of the slots
 }
 
 TEST(Cap, IsHalvedOnErrors) {
@@ -536,8 +538,8 @@
   }
   for (std::uint32_t m = id - 20; m < id; ++m) slow.push_back(Withdrawn{MessageId(m)});
   r.step(slow);
-  for (int i = 0; i < 4; ++i) {  // ticks with a healthy call each: nothing new that is slow, no further cut
-    r.take(id);
+  for (int i = 0; i < 4; ++i) {  // ticks with one healthy call each: no new slow call, no further reduction
+    r.submit(id);
     r.run_for(50ms);
     r.end(id++, Result::delivered);
     r.run_for(450ms);
@@ -545,30 +547,31 @@
   EXPECT_GE(burst(), 3U);
 }
 
-TEST(Hold, RefusesEarlyOpenlyAndWithASpreadHint) {
+TEST(Queue, RefusesEarlyAndWithARandomizedHint) {
   Relay r;
   r.step({change(HostState::gone)});
-  for (std::uint32_t i = 1; i <= 120; ++i) r.take(i);
+  for (std::uint32_t i = 1; i <= 120; ++i) r.submit(i);
   ASSERT_GE(r.refused.size(), 20U);
   EXPECT_GT(r.refused[0].wait, 0us);
   EXPECT_NE(r.refused[0].wait, r.refused[1].wait);
   for (const Refuse& refusal : r.refused) EXPECT_LE(refusal.wait, 2s);
 }
 
-TEST(Hold, HigherWorthKeepsItsPlace) {
+TEST(Queue, HigherWorthKeepsItsPlace) {
   Relay r;
   r.step({change(HostState::gone)});
-  r.take(1, kOnce);
-  for (std::uint32_t i = 2; i <= 120; ++i) r.take(i);
+  r.submit(1, kOnce);
+  for (std::uint32_t i = 2; i <= 120; ++i) r.submit(i);
   for (const Refuse& refusal : r.refused) EXPECT_NE(refusal.id, MessageId(1));
 }
 
-// A connection that comes up late would carry a repeat to a host that has forgotten its key.
+// Without the write deadline, a connection that is established late would carry a repeat to a host that has
+// forgotten its key.
 TEST(Effects, AKeyedRepeatLeavesWithinTheWindowOfItsKeyOrNever) {
   Relay r;
-  r.take(1, kKeyed);
+  r.submit(1, kKeyed);
   ASSERT_EQ(r.sends.size(), 1U);
-  EXPECT_GE(r.sends[0].send.write_deadline, r.now + 24h) << "nothing may have run before";
+  EXPECT_GE(r.sends[0].send.write_deadline, r.now + 24h) << "no attempt may have run before";
   r.run_for(3s);
   r.end(1, Result::timed_out);
   r.run_for(1900ms);
@@ -578,19 +581,19 @@
   EXPECT_GT(r.sends[1].send.write_deadline, end - 200ms);
   r.end(1, Result::connect_failed);
   r.run_for(5s);
-  EXPECT_EQ(r.sends.size(), 2U) << "what never ran leaves the window where it was";
+  EXPECT_EQ(r.sends.size(), 2U) << "an attempt that never ran does not move the window";
   EXPECT_EQ(r.failed, std::vector{MessageId(1)});
 }
 
-// A hung destination never answers, so its p95 says nothing.
+// A hung destination never answers, so its p95 does not rise.
 TEST(Stall, AnOverdueCallStopsNewOnes) {
   Relay r;
   std::uint32_t id = 1;
   steady(r, id, 10s, 100ms);
-  r.take(5000);
+  r.submit(5000);
   r.run_for(1s);
   const std::size_t before = r.sends.size();
-  for (std::uint32_t i = 5001; i < 5020; ++i) r.take(i);
+  for (std::uint32_t i = 5001; i < 5020; ++i) r.submit(i);
   r.run_for(200ms);
   EXPECT_EQ(r.sends.size(), before);
   r.end(5000, Result::delivered);
@@ -606,16 +609,16 @@
   for (std::uint32_t i = 1; i <= 40; ++i) events.push_back(r.message(i));
   r.step(events);
   r.run_for(1s);
-  r.take(100, kSafe, {}, DestinationId(2));
+  r.submit(100, kSafe, {}, DestinationId(2));
   EXPECT_EQ(r.sent(100), 1);
 }
 
-// Without a pace the backlog left at the rate of the cap, call after call above the destination's limit; with
-// one that could fall under the usual rate, small destinations starved.
-TEST(Pace, RefusalsBoundTheRateButNotUnderTheUsual) {
+// Without a paced rate the backlog was sent as fast as the cap allowed, with calls above the limit of the
+// destination; a paced rate that could fall below the baseline starved small destinations.
+TEST(PacedRate, RejectionsLimitTheRateButNotBelowTheBaseline) {
   Relay r;
   std::uint32_t id = 1;
-  steady(r, id, 20s, 200ms);  // five calls a second
+  steady(r, id, 20s, 200ms);  // five calls per second
   std::vector<Event> events;
   for (std::uint32_t i = 5000; i < 5060; ++i) events.push_back(r.message(i));
   r.step(events);
@@ -627,14 +630,14 @@
   EXPECT_GE(r.sends.size() - before, 20U);
 }
 
-// A limit that had been low for a while was high again, and what had gathered meanwhile expired at a pace
-// that still grew by a tenth in a second.
-TEST(Pace, GrowsFasterTheLongerNothingIsRefused) {
+// After a limit had been low for a while and was raised again, the backlog expired because the paced rate
+// still grew by a tenth per second.
+TEST(PacedRate, GrowsFasterTheLongerNothingIsRejected) {
   Settings s = settings();
   s.max_open = 1000;
   Relay r(s);
   std::uint32_t id = 1;
-  steady(r, id, 20s, 200ms);  // five calls a second
+  steady(r, id, 20s, 200ms);  // five calls per second
   std::vector<Event> events;
   for (std::uint32_t i = 5000; i < 5300; ++i) events.push_back(r.message(i));
   r.step(events);
@@ -649,35 +652,36 @@
   EXPECT_GE(sent_in(1s), 20U);
 }
 
-// A key's late head held up a long queue while lone messages went first.
+// The late first message of an ordered key delayed a long queue while single messages were sent first.
 TEST(Order, TheHeadOfALongQueueGoesFirst) {
   Settings s = settings();
   s.slots = 2;
   Relay r(s);
-  r.take(1);
-  r.take(2, kInTurn, 76);
+  r.submit(1);
+  r.submit(2, kOrdered, 76);
   r.run_for(500ms);
-  for (std::uint32_t i = 3; i < 8; ++i) r.take(i, kInTurn, 77);
+  for (std::uint32_t i = 3; i < 8; ++i) r.submit(i, kOrdered, 77);
   r.end(1, Result::delivered);
   EXPECT_EQ(r.sent(3), 1);
   EXPECT_EQ(r.sent(2), 0);
 }
 
-// ---------------------------------------------------------------- many relays, each seeing a sliver
-// Idle connections of hundreds of relays filled the tables of hosts that take few: half of all connects
-// failed. Given up at all hosts, each rare call cost a new one, 0.8 for a call on days with a hundred relays.
-TEST(Many, ARareCallLeavesAnIdleConnectionUntilOneIsTurnedAway) {
+// ---------------------------------------------------------------- many relays, each with a small part of the
+// traffic Idle connections of hundreds of relays filled the connection tables of hosts with a small limit:
+// half of all connects failed. When they were closed at all hosts instead, each rare call needed a new one:
+// 0.8 per call on days with a hundred relays.
+TEST(Many, ARareCallLeavesAnIdleConnectionUntilOneIsRejected) {
   for (const std::uint32_t relays : {2U, 300U}) {
     for (const Result sign : {Result::delivered, Result::full, Result::connect_failed}) {
       Settings s = settings();
       s.relays = relays;
       Relay r(s);
-      r.take(1);
+      r.submit(1);
       r.run_for(100ms);
       r.end(1, sign);
       r.run_for(12s);
       const int closed = r.closed;
-      if (r.pending.empty()) r.take(2);
+      if (r.pending.empty()) r.submit(2);
       r.run_for(100ms);
       while (!r.pending.empty()) r.end(*r.pending.begin(), Result::delivered);
       r.run_for(5s);
@@ -687,18 +691,19 @@
   }
 }
 
-// While a partner was down every relay's connects failed, and for 20 s after it each call opened a new one.
+// During an outage of a destination the connects of every relay failed, and for 20 s after it each call used
+// a new connection.
 TEST(Many, AHostThatWasDownIsNotTakenForFull) {
   Settings s = settings();
   s.relays = 300;
   Relay r(s);
-  // Nothing was ever accepted: what comes tells how much the host may be called.
+  // Nothing was ever accepted: the arrival rate determines how many calls the host may get.
   std::uint32_t id = 0;
   for (const Result result :
        {Result::connect_failed, Result::connect_failed, Result::connect_failed, Result::delivered}) {
     while (r.pending.empty()) {
       ASSERT_LT(++id, 200U);
-      r.take(id);
+      r.submit(id);
       r.run_for(500ms);
     }
     r.end(*r.pending.begin(), result);
@@ -717,10 +722,11 @@
   Relay r(s);
   std::uint32_t id = 1;
   steady(r, id, 10s, 50ms);
-  EXPECT_LE(r.closed, 5);  // the first calls alone: afterwards the next one is always soon
+  EXPECT_LE(r.closed, 5);  // only the first calls: afterwards the next one always follows soon
 }
 
-// Something between drops idle connections unseen: calls on those that lay idle break, new ones are answered.
+// A network element silently drops idle connections: calls on idle ones break, calls on new ones are
+// answered.
 TEST(Many, IdleConnectionsAreClosedBeforeTheAgeThatBroke) {
   Relay r;
   const auto end = [&](std::uint32_t id, Result result, Duration idle) {
@@ -728,18 +734,18 @@
     outcome.connection = {true, idle};
     r.step({outcome});
   };
-  r.take(1);
+  r.submit(1);
   end(1, Result::delivered, 0s);
   for (const std::uint32_t id : {2, 3, 4}) {
     r.run_for(2s);
-    r.take(id);
+    r.submit(id);
     r.run_for(50ms);
     end(id, Result::reset, 2s);
     r.run_for(1s);
     ASSERT_EQ(r.sent(id), 2);
     end(id, Result::delivered, 0s);
   }
-  r.take(5);
+  r.submit(5);
   EXPECT_LT(r.sends.back().send.max_connection_idle, 2s);
   end(5, Result::delivered, 0s);
   const int before = r.closed;
@@ -749,14 +755,14 @@
   EXPECT_EQ(r.closed, before + 1);
 }
 
-// Every host of a destination that is down was tried twice by every relay, and the first seconds after its
-// return were full of their retries.
+// Every relay used to try every host of a destination that was down twice, and their retries filled the
+// first seconds after its return.
 TEST(Many, TwoFailuresInARowOpenTheWholeDestination) {
   Settings s = settings();
   s.relays = 300;
   Relay r(s, 4);
   r.run_for(20s);
-  r.take(1);
+  r.submit(1);
   for (int i = 0; i < 300; ++i) {
     r.now += 10ms;
     std::vector<Event> events;
@@ -766,8 +772,8 @@
   EXPECT_LE(r.sent(1), 3);
 }
 
-// Pauses of a quarter of a second, times hundreds of relays, kept a limit exceeded.
-TEST(Many, PausesAfterRefusalsFollowTheOwnRate) {
+// Backoffs of a quarter of a second, multiplied by hundreds of relays, kept the load above a limit.
+TEST(Many, PausesAfterRejectionsFollowTheOwnRate) {
   const auto sends = [](Duration between) {
     Settings s = settings();
     s.relays = 300;
@@ -775,7 +781,7 @@
     std::uint32_t id = 1000;
     steady(r, id, 40s, between);
     const std::size_t before = r.sends.size();
-    r.take(1);
+    r.submit(1);
     for (int i = 0; i < 300; ++i) {
       r.now += 10ms;
       std::vector<Event> events;
@@ -788,8 +794,8 @@
   EXPECT_GE(sends(200ms), 4U);
 }
 
-// All relays that were told to wait came back at the same moment.
-TEST(Many, RelaysToldToWaitDoNotComeBackTogether) {
+// All relays with the same requested wait used to return at the same time.
+TEST(Many, RelaysWithAServerBackoffDoNotReturnTogether) {
   std::set<Time> back;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Settings s = settings();
@@ -797,7 +803,7 @@
     s.relays = 300;
     Relay r(s);
     r.run_for(20s);
-    r.take(1);
+    r.submit(1);
     r.end(1, Result::full, 500ms);
     const Time told = r.now;
     r.run_for(3s);
@@ -811,7 +817,7 @@
 
 TEST(Many, AnIdleRelayAsksForFewTimers) {
   Relay r;
-  r.take(1);
+  r.submit(1);
   r.run_for(100ms);
   r.end(1, Result::delivered);
   r.run_for(15s);
@@ -841,9 +847,8 @@
   EXPECT_EQ(message([](Settings&) {}), "accepted");
 }
 
-// Whose call may be out for as long as its partner likes, for nobody here can end it, is not sent beside
-// that.
-TEST(Restart, WhatIsAstrayGoesBackToItsClientAtOnce) {
+// A message is not sent again while an orphaned call, which nobody here can end, may still run.
+TEST(Restart, AnOrphanedMessageReturnsToItsClientAtOnce) {
   Relay r;
   for (const std::uint32_t cls : {kSafe, kOnce}) {
     Message m = r.message(1 + cls, cls);
@@ -856,7 +861,7 @@
   EXPECT_EQ(r.failed, std::vector{MessageId(1 + kOnce)});
 }
 
-// After a restart the module goes on from what a message has behind it.
+// After a restart the past attempts of a message count like new ones.
 TEST(Restart, PastAttemptsBindAsIfTheyHadBeenMadeHere) {
   Relay r;
   r.now = Time(100s);
@@ -868,11 +873,11 @@
   };
   const auto at = [](Time t, bool may_have_run) { return PastAttempt{ZoneId(0), t, may_have_run}; };
   EXPECT_EQ(again(1, kSafe, {at(Time(99s), true)}), 1);
-  EXPECT_EQ(again(2, kOnce, {at(Time(99s), false)}), 1) << "nothing ran";
-  EXPECT_EQ(again(3, kKeyed, {at(Time(99s), true)}), 1) << "inside the key's window";
+  EXPECT_EQ(again(2, kOnce, {at(Time(99s), false)}), 1) << "no attempt ran";
+  EXPECT_EQ(again(3, kKeyed, {at(Time(99s), true)}), 1) << "within the window of the key";
   EXPECT_TRUE(r.failed.empty());
   EXPECT_EQ(again(4, kOnce, {at(Time(99s), true)}), 0);
-  EXPECT_EQ(again(5, kKeyed, {at(Time(94s), true)}), 0) << "the key is forgotten";
+  EXPECT_EQ(again(5, kKeyed, {at(Time(94s), true)}), 0) << "the destination has forgotten the key";
   EXPECT_EQ(r.failed, (std::vector<MessageId>{MessageId(4), MessageId(5)}));
   EXPECT_TRUE(r.refused.empty());
   EXPECT_EQ(again(6, kSafe, std::vector<PastAttempt>(5, at(Time(99s), true))), 0) << "no attempt is left";
@@ -880,7 +885,8 @@
   EXPECT_EQ(r.refused[0].id, MessageId(6));
 }
 
-// It was promised to be tried, and nothing is known yet of how soon that can be: new work gives way to it.
+// Recovered messages were accepted, and nothing is known yet of how soon they can be sent: new messages give
+// way to them.
 TEST(Restart, WhatIsFoundUntriedIsNotHandedBackToMakeRoom) {
   Relay r;
   r.step({change(HostState::gone)});
@@ -888,23 +894,22 @@
   for (std::uint32_t i = 1; i <= 120; ++i) {
     Message m = r.message(i);
     m.recovered = true;
-    if (i > 100)
-      m.past_attempts = {{ZoneId(0), r.now - 1s, false}};  // it may have been withheld: that was no call
+    if (i > 100) m.past_attempts = {{ZoneId(0), r.now - 1s, false}};  // possibly withheld, which was no call
     found.emplace_back(std::move(m));
   }
   r.step(found);
   ASSERT_TRUE(r.refused.empty());
-  for (std::uint32_t i = 201; i <= 210; ++i) r.take(i);
+  for (std::uint32_t i = 201; i <= 210; ++i) r.submit(i);
   ASSERT_EQ(r.refused.size(), 10U);
-  for (const Refuse& refusal : r.refused) EXPECT_GT(refusal.id, MessageId(200)) << "new work is refused";
+  for (const Refuse& refusal : r.refused) EXPECT_GT(refusal.id, MessageId(200)) << "new messages are refused";
   r.run_for(3s);
   EXPECT_EQ(r.refused.size(), 10U);
   EXPECT_TRUE(r.failed.empty());
 }
 
-// New work may still be refused, and its client go elsewhere; what was taken on before the restart can't.
-// With fewer slots than work it would else wait until its time is up, for it is late by then and counts for
-// less.
+// New messages can still be refused, so that their clients try another relay; messages accepted before the
+// restart cannot. With fewer slots than messages they would otherwise wait until they expire, because they
+// are late and have a lower value.
 TEST(Restart, WhatIsFoundUntriedGoesBeforeNewWork) {
   constexpr std::uint32_t kFound = 10, kFirstNew = 100;
   Settings few_slots = settings();
@@ -913,7 +918,7 @@
   std::vector<Event> found;
   for (std::uint32_t i = 1; i <= kFound; ++i) {
     Message m = r.message(i);
-    m.valid_until = r.now + 12s;  // late by 6 s
+    m.valid_until = r.now + 12s;  // 6 s past its aim
     m.recovered = true;
     found.emplace_back(std::move(m));
   }
@@ -941,22 +946,22 @@
   Message m = r.message(1, kKeyed);
   m.past_attempts = {{ZoneId(3), r.now, true}};
   r.step({m});
-  EXPECT_EQ(r.sent(1), 0) << "the one host is of another zone";
+  EXPECT_EQ(r.sent(1), 0) << "the only host is in another zone";
 }
 
-TEST(Interface, StrayNewsIsPassedOver) {
+TEST(Interface, UnknownEventsAreIgnored) {
   Relay r;
-  r.take(1);
+  r.submit(1);
   const Outcome good = r.outcome(1, Result::delivered);
   Outcome unknown = good;
   unknown.id = MessageId(999);
   Outcome never_sent = good;
   never_sent.attempt = 7;
-  HostList unheard{HostList::Kind::changes, {}};
-  unheard.entries.push_back({HostId(77), DestinationId(1), ZoneId(0), 0, HostState::gone, std::nullopt});
-  r.step({unknown, never_sent, Timer{12345}, unheard, Withdrawn{MessageId(998)}, good, good});
+  HostList unknown_host{HostList::Kind::changes, {}};
+  unknown_host.entries.push_back({HostId(77), DestinationId(1), ZoneId(0), 0, HostState::gone, std::nullopt});
+  r.step({unknown, never_sent, Timer{12345}, unknown_host, Withdrawn{MessageId(998)}, good, good});
   for (std::uint32_t i = 2; i < 5; ++i) {
-    r.take(i);
+    r.submit(i);
     r.end(i, Result::delivered);
   }
   EXPECT_EQ(r.sends.size(), 4U);
@@ -1000,14 +1005,14 @@
   EXPECT_NEAR(rate.per_second(Time(5s), 1s), 10, 1);
 }
 
-TEST(Sender, GivesNothingToAHostThatIsOutByHandThoughTheListNamesIt) {
+TEST(Sender, SendsNothingToADisabledHostThoughTheListNamesIt) {
   Relay relay(settings(), 2);
   relay.step({OperatorHostOverride{HostId(0), true}});
   HostList again{HostList::Kind::whole,
                  {{HostId(0), DestinationId(1), ZoneId(0), 0}, {HostId(1), DestinationId(1), ZoneId(0), 0}}};
   relay.step({again});
   for (std::uint32_t id = 0; id < 6; ++id) {
-    relay.take(id);
+    relay.submit(id);
     relay.end(id, Result::delivered);
     relay.run_for(100ms);
   }
@@ -1015,11 +1020,11 @@
   for (const auto& sent : relay.sends) EXPECT_EQ(sent.send.host, HostId(1));
 }
 
-TEST(Sender, AHostThatIsBackByHandGetsWhatAColdOneGets) {
+TEST(Sender, AHostThatIsEnabledAgainIsInSlowStart) {
   Relay relay;
   std::uint32_t id = 0;
-  for (; id < 100; ++id) {  // ten a second
-    relay.take(id);
+  for (; id < 100; ++id) {  // ten per second
+    relay.submit(id);
     relay.end(id, Result::delivered);
     relay.run_for(100ms);
   }
@@ -1031,32 +1036,33 @@
   for (; id < 140; ++id) flood.push_back(relay.message(id));
   relay.step(flood);
   EXPECT_LE(relay.sends.size(), before + 1);
-  for (int beats = 0; beats < 100; ++beats) {
+  for (int i = 0; i < 100; ++i) {
     for (const std::uint32_t out : std::set(relay.pending)) relay.end(out, Result::delivered);
     relay.run_for(10ms);
   }
-  // A fifth of its capacity at first, twice which pushes it over: some five calls in the first second.
+  // The host has a fifth of its capacity at first and is overloaded by twice that: about five calls in the
+  // first second.
   EXPECT_GT(relay.sends.size(), before);
   EXPECT_LE(relay.sends.size(), before + 10);
 }
 
-TEST(Sender, HandsBackWhatIsHeldOnceTheLastHostIsOutByHand) {
+TEST(Sender, RefusesWhatIsQueuedOnceTheLastHostIsDisabled) {
   Relay relay;
-  for (std::uint32_t id = 0; id < 20; ++id) relay.take(id);
-  const std::size_t held = 20 - relay.sends.size();
-  ASSERT_GT(held, 0U);
+  for (std::uint32_t id = 0; id < 20; ++id) relay.submit(id);
+  const std::size_t queued = 20 - relay.sends.size();
+  ASSERT_GT(queued, 0U);
   relay.step({OperatorHostOverride{HostId(0), true}});
-  EXPECT_EQ(relay.refused.size(), held);
-  relay.take(20);
-  EXPECT_EQ(relay.refused.size(), held + 1);
+  EXPECT_EQ(relay.refused.size(), queued);
+  relay.submit(20);
+  EXPECT_EQ(relay.refused.size(), queued + 1);
   for (const Refuse& refuse : relay.refused) EXPECT_GT(refuse.wait, 0us);
   relay.step({OperatorHostOverride{HostId(0), false}});
-  relay.take(21);
-  EXPECT_EQ(relay.refused.size(), held + 1);
+  relay.submit(21);
+  EXPECT_EQ(relay.refused.size(), queued + 1);
 }
 
-// What one process has learned holds in the one that takes its place.
-TEST(Sender, TakesUpWaitsAndColdHosts) {
+// The learned state of one process applies in its successor.
+TEST(Sender, RestoresBackoffAndSlowStart) {
   Sender old(settings()), fresh(settings());
   const HostList list{HostList::Kind::whole, {{HostId(0), DestinationId(1), ZoneId(0), 0}}};
   const Message first{MessageId(1), kSafe, DestinationId(1), Time(20s), {}, {}, {}};
@@ -1074,14 +1080,14 @@
   EXPECT_EQ(later, 1);
 }
 
-TEST(Sender, ACallThatAnEarlierProcessHasOutHoldsItsMessageAndItsSlot) {
+TEST(Sender, ACallOfAPreviousProcessOccupiesItsMessageAndItsSlot) {
   Settings s = settings();
   s.slots = 1;
   Relay relay(s);
   Message out = relay.message(1);
   out.past_attempts = {{ZoneId(0), relay.now, true, true, HostId(0), 7}};
   relay.step({out});
-  relay.take(2);
+  relay.submit(2);
   relay.run_for(100ms);
   EXPECT_TRUE(relay.sends.empty());
   relay.step({Outcome{MessageId(1), 0, Result::reset, false, 0us, 100ms, std::nullopt}});
@@ -1093,11 +1099,11 @@
     }
     relay.run_for(2s);
   }
-  EXPECT_EQ(relay.sent(1), 1) << "safe to repeat, once its call is over";
+  EXPECT_EQ(relay.sent(1), 1) << "it can be repeated once its call has ended";
   EXPECT_EQ(relay.sent(2), 1);
 }
 
-// A call that is never answered keeps its slot from work that waits.
+// A call that is never answered blocks its slot for waiting messages.
 TEST(Sender, TheLastSlotIsLentForAShorterTime) {
   Settings s = settings();
   s.slots = 4;
@@ -1105,18 +1111,18 @@
   HostList more{HostList::Kind::changes, {}};
   for (std::uint32_t d = 2; d <= 4; ++d) more.entries.push_back({HostId(d), DestinationId(d), ZoneId(0), 0});
   relay.step({more});
-  for (std::uint32_t d = 1; d <= 4; ++d) relay.take(d, kSafe, {}, DestinationId(d));
+  for (std::uint32_t d = 1; d <= 4; ++d) relay.submit(d, kSafe, {}, DestinationId(d));
   ASSERT_EQ(relay.sends.size(), 4U);
   for (std::size_t i = 0; i < 3; ++i) EXPECT_LT(relay.sends[3].send.timeout, relay.sends[i].send.timeout);
 }
 
-// Only a call can show that a host works again, and where another one is free none would ever go there.
+// Only a call can show that a host works again; while another host is free, none would ever be sent there.
 TEST(Sender, AHostThatFailedIsTriedAgainThoughAnotherWorks) {
   Relay relay(settings(), 2);
   const auto to_first = [&](const Relay::Sent& sent) { return sent.send.host == HostId(0); };
   std::uint32_t id = 0;
   const auto answer_all = [&](Result first) {
-    for (int both = 0; both < 2; ++both) relay.take(id++);  // one for each, where both are good
+    for (int both = 0; both < 2; ++both) relay.submit(id++);  // one for each host if both work
     for (const std::uint32_t out : std::set(relay.pending)) {
       const auto sent = std::ranges::find_if(relay.sends.rbegin(), relay.sends.rend(),
                                              [&](const auto& s) { return s.send.id == MessageId(out); });
@@ -1127,7 +1133,7 @@
   for (int i = 0; i < 100; ++i) answer_all(Result::timed_out);
   const std::size_t before = relay.sends.size();
   EXPECT_GE(std::ranges::count_if(relay.sends, to_first), 3) << "probed while it fails";
-  EXPECT_LE(std::ranges::count_if(relay.sends, to_first), 40) << "and not with every call";
+  EXPECT_LE(std::ranges::count_if(relay.sends, to_first), 40) << "but not with every call";
   for (int i = 0; i < 300; ++i) answer_all(Result::delivered);
   const auto tail = relay.sends.begin() + static_cast<std::ptrdiff_t>(before);
   EXPECT_GE(std::count_if(tail, relay.sends.end(), to_first), 30);
--- a/tests/earlier_calls_test.cpp
+++ b/tests/predecessor_calls_test.cpp
@@ -1,4 +1,4 @@
-// The decision module keeps back what an earlier process may still have out.
+/// Tests that the module does not repeat messages that a previous process may still have in flight.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -34,7 +34,7 @@
   return message;
 }
 
-TEST(EarlierCalls, NothingIsRepeatedBeforeTheyAreOver) {
+TEST(PredecessorCalls, NothingIsRepeatedBeforeTheyEnd) {
   Sender sender(one_class());
   Time now(100s);
   HostList list{HostList::Kind::cached, {{HostId(0), DestinationId(1), ZoneId(0)}}};
@@ -47,7 +47,7 @@
   EXPECT_EQ(sends(sender.step(now, std::vector<Event>{PredecessorCallsEnded{}})), 1U);
 }
 
-TEST(EarlierCalls, AMessageEndsInTimeThoughTheyAreNot) {
+TEST(PredecessorCalls, AMessageFailsInTimeThoughTheyDoNotEnd) {
   Sender sender(one_class());
   Time now(100s);
   HostList list{HostList::Kind::cached, {{HostId(0), DestinationId(1), ZoneId(0)}}};
--- a/tests/working_set_test.cpp
+++ b/tests/working_set_test.cpp
@@ -1,5 +1,5 @@
-// A Sender with a bound of destinations beside one without: the same events lead to the same actions, but for
-// what is put away. The caller tells the hosts again before a message that needs them.
+/// Compares a Sender with max_destinations to one without: the same events lead to the same actions, except
+/// for evictions. The caller passes in the hosts again before a message that needs them.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -41,9 +41,9 @@
   return s;
 }
 
-using Told = std::tuple<int, std::uint64_t, std::uint64_t, std::int64_t, std::int64_t, std::int64_t>;
+using ActionRecord = std::tuple<int, std::uint64_t, std::uint64_t, std::int64_t, std::int64_t, std::int64_t>;
 
-Told told(const Action& a) {
+ActionRecord record(const Action& a) {
   if (const auto* s = std::get_if<Send>(&a)) {
     return {0,
             std::uint64_t(s->id),
@@ -59,17 +59,18 @@
   return {5, 0, 0, 0, 0, 0};
 }
 
-// What a relay is: it holds the list, tells what the module needs of it, and answers its calls.
+// Plays the part of a relay: it keeps the list, passes hosts to the modules as needed and answers their
+// calls.
 class Pair {
  public:
-  Pair(std::uint32_t relays, std::uint64_t seed, std::uint32_t most) : random_(seed) {
+  Pair(std::uint32_t relays, std::uint64_t seed, std::uint32_t max_destinations) : random_(seed) {
     Settings s = settings(relays, seed);
-    free_ = std::make_unique<Sender>(s);
-    s.max_destinations = most;
-    bound_ = std::make_unique<Sender>(s);
+    unbounded_ = std::make_unique<Sender>(s);
+    s.max_destinations = max_destinations;
+    bounded_ = std::make_unique<Sender>(s);
   }
 
-  // All at the start, and as changes later.
+  // The first list is complete, later ones are changes.
   void list(std::vector<HostEntry> entries) {
     for (const HostEntry& e : entries) {
       auto& known = hosts_[e.destination];
@@ -78,20 +79,20 @@
     }
     const auto kind = std::exchange(listed_, true) ? HostList::Kind::changes : HostList::Kind::cached;
     events_.emplace_back(HostList{kind, entries});
-    std::erase_if(entries, [&](const HostEntry& e) { return away_.contains(e.destination); });
-    if (!entries.empty()) for_bound_.emplace_back(HostList{kind, entries});
+    std::erase_if(entries, [&](const HostEntry& e) { return evicted_.contains(e.destination); });
+    if (!entries.empty()) bounded_events_.emplace_back(HostList{kind, entries});
   }
 
   void message(DestinationId to, std::uint32_t cls = 0, std::optional<std::uint64_t> key = {}) {
-    wake(to);
+    pass_hosts(to);
     const Duration left = settings(1, 1).classes[cls].deadline + Duration(pick(1000));
     both(Message{MessageId(++last_), cls, to, now_ + left, {}, key, {}});
     destination_[MessageId(last_)] = to;
   }
 
-  void by_hand(DestinationId of, HostId host, bool out) {
-    wake(of);
-    both(OperatorHostOverride{host, out});
+  void set_disabled(DestinationId of, HostId host, bool disabled) {
+    pass_hosts(of);
+    both(OperatorHostOverride{host, disabled});
   }
 
   void step(Duration after = 0us) {
@@ -100,22 +101,22 @@
       both(answers_.begin()->second);
       answers_.erase(answers_.begin());
     }
-    std::vector<Told> free, bound;
-    const std::vector<Action> actions = free_->step(now_, std::exchange(events_, {}));
-    for (const Action& a : actions) free.push_back(told(a));
-    for (const Action& a : bound_->step(now_, std::exchange(for_bound_, {}))) {
+    std::vector<ActionRecord> unbounded, bounded;
+    const std::vector<Action> actions = unbounded_->step(now_, std::exchange(events_, {}));
+    for (const Action& a : actions) unbounded.push_back(record(a));
+    for (const Action& a : bounded_->step(now_, std::exchange(bounded_events_, {}))) {
       if (const auto* p = std::get_if<EvictDestination>(&a)) {
-        ++put_away_;
-        ASSERT_TRUE(away_.insert(p->destination).second);
+        ++evictions_;
+        ASSERT_TRUE(evicted_.insert(p->destination).second);
       } else {
-        bound.push_back(told(a));
+        bounded.push_back(record(a));
       }
     }
-    ASSERT_EQ(free, bound) << "at " << now_.time_since_epoch().count() << " us";
+    ASSERT_EQ(unbounded, bounded) << "at " << now_.time_since_epoch().count() << " us";
     for (const Action& a : actions) carry_out(a);
   }
 
-  // Until nothing is asked for any more.
+  // Runs for `span` of simulated time.
   void run(Duration span) {
     for (const Time end = now_ + span; now_ < end && !testing::Test::HasFatalFailure();) {
       Time next = end;
@@ -127,12 +128,12 @@
 
   std::uint64_t pick(std::uint64_t below) { return random_() % below; }
 
-  std::map<DestinationId, std::function<Outcome()>> answer;  // by destination; else delivered
-  Duration takes = 80ms;
+  std::map<DestinationId, std::function<Outcome()>> answer;  // by destination; default: delivered
+  Duration latency = 80ms;
 
-  std::size_t kept() const { return bound_->destinations(); }
-  bool away(DestinationId d) const { return away_.contains(d); }
-  std::size_t put_away() const { return put_away_; }
+  std::size_t kept() const { return bounded_->destinations(); }
+  bool evicted(DestinationId d) const { return evicted_.contains(d); }
+  std::size_t evictions() const { return evictions_; }
   std::size_t sends() const { return sends_; }
   std::map<DestinationId, std::vector<HostEntry>>& hosts() { return hosts_; }
   Time now() const { return now_; }
@@ -140,11 +141,11 @@
  private:
   void both(const Event& e) {
     events_.push_back(e);
-    for_bound_.push_back(e);
+    bounded_events_.push_back(e);
   }
 
-  void wake(DestinationId d) {
-    if (away_.erase(d) > 0) for_bound_.emplace_back(HostList{HostList::Kind::changes, hosts_[d]});
+  void pass_hosts(DestinationId d) {
+    if (evicted_.erase(d) > 0) bounded_events_.emplace_back(HostList{HostList::Kind::changes, hosts_[d]});
   }
 
   void carry_out(const Action& a) {
@@ -157,21 +158,21 @@
     o.id = send->id;
     o.attempt = attempts_[send->id]++;
     o.terminal = o.result == Result::delivered;
-    if (o.elapsed == 0us) o.elapsed = takes + Duration(pick(20000));
+    if (o.elapsed == 0us) o.elapsed = latency + Duration(pick(20000));
     answers_.emplace(now_ + std::min(o.elapsed, send->timeout), o);
   }
 
   std::mt19937_64 random_;
-  std::unique_ptr<Sender> free_, bound_;
+  std::unique_ptr<Sender> unbounded_, bounded_;
   Time now_{}, timer_{};
-  std::vector<Event> events_, for_bound_;
+  std::vector<Event> events_, bounded_events_;
   std::multimap<Time, Outcome> answers_;
   std::map<DestinationId, std::vector<HostEntry>> hosts_;
   std::map<MessageId, DestinationId> destination_;
   std::map<MessageId, std::uint32_t> attempts_;
-  std::set<DestinationId> away_;
+  std::set<DestinationId> evicted_;
   std::uint32_t last_ = 0;
-  std::size_t put_away_ = 0, sends_ = 0;
+  std::size_t evictions_ = 0, sends_ = 0;
   bool listed_ = false;
 };
 
@@ -197,7 +198,7 @@
  protected:
   WorkingSetTest() : pair_(4, 1, 2) { pair_.list(one_each(5)); }
 
-  // Something is asked of the others every second, so that the module looks.
+  // Sends messages to the other destinations every second, so that the module checks for evictions.
   void others(Duration span) {
     for (const Time end = pair_.now() + span; pair_.now() < end && !HasFatalFailure();) {
       pair_.message(DestinationId(3));
@@ -205,90 +206,90 @@
       pair_.run(1s);
     }
   }
-  void ask(std::uint64_t of = 0) { pair_.message(DestinationId(of)); }
+  void send_to(std::uint64_t of = 0) { pair_.message(DestinationId(of)); }
 
   Pair pair_;
 };
 
-TEST_F(WorkingSetTest, WhatNobodyAsksForIsPutAwayAtOnceAndNoMoreThanNeeded) {
+TEST_F(WorkingSetTest, WhatNobodyAsksForIsEvictedAtOnceAndNoMoreThanNeeded) {
   others(2s);
   EXPECT_EQ(pair_.kept(), 2U);
-  EXPECT_EQ(pair_.put_away(), 3U);
+  EXPECT_EQ(pair_.evictions(), 3U);
 }
 
 TEST_F(WorkingSetTest, AfterACallTheLeastRestIsWaitedFor) {
-  ask();
+  send_to();
   others(58s);
-  EXPECT_FALSE(pair_.away(DestinationId(0)));
-  EXPECT_EQ(pair_.kept(), 3U) << "more than allowed where none may go";
+  EXPECT_FALSE(pair_.evicted(DestinationId(0)));
+  EXPECT_EQ(pair_.kept(), 3U) << "exceeds the bound while none can be evicted";
   others(10s);
-  EXPECT_TRUE(pair_.away(DestinationId(0)));
+  EXPECT_TRUE(pair_.evicted(DestinationId(0)));
   EXPECT_EQ(pair_.kept(), 2U);
 }
 
 TEST_F(WorkingSetTest, TheOneLongestAtRestGoesFirst) {
-  ask(1);
+  send_to(1);
   others(5s);
-  ask(2);
+  send_to(2);
   others(5s);
-  ask(0);
+  send_to(0);
   std::vector<std::uint64_t> order;
   for (int i = 0; i < 80; ++i) {
     others(1s);
     for (const std::uint64_t d : {0, 1, 2}) {
-      if (pair_.away(DestinationId(d)) && !std::ranges::count(order, d)) order.push_back(d);
+      if (pair_.evicted(DestinationId(d)) && !std::ranges::count(order, d)) order.push_back(d);
     }
   }
   EXPECT_EQ(order, (std::vector<std::uint64_t>{1, 2, 0}));
 }
 
-TEST_F(WorkingSetTest, AToldWaitIsKeptUntilItIsOver) {
+TEST_F(WorkingSetTest, AServerBackoffIsKeptUntilItEnds) {
   pair_.answer[DestinationId(0)] = [] { return with(Result::delivered, 200s); };
-  ask();
+  send_to();
   others(190s);
-  EXPECT_FALSE(pair_.away(DestinationId(0)));
-  ask();
+  EXPECT_FALSE(pair_.evicted(DestinationId(0)));
+  send_to();
   others(5s);
   others(100s);
-  EXPECT_TRUE(pair_.away(DestinationId(0)));
+  EXPECT_TRUE(pair_.evicted(DestinationId(0)));
 }
 
-TEST_F(WorkingSetTest, ADestinationThatIsDownOrColdIsKept) {
+TEST_F(WorkingSetTest, ADestinationThatIsDownOrInSlowStartIsKept) {
   pair_.answer[DestinationId(0)] = [] { return with(Result::connect_failed); };
-  ask();
+  send_to();
   others(700s);
-  EXPECT_FALSE(pair_.away(DestinationId(0)));
+  EXPECT_FALSE(pair_.evicted(DestinationId(0)));
   pair_.answer.clear();
-  ask();
+  send_to();
   others(100s);
-  EXPECT_FALSE(pair_.away(DestinationId(0))) << "its cap was cut";
+  EXPECT_FALSE(pair_.evicted(DestinationId(0))) << "its cap was reduced";
   others(600s);
-  EXPECT_TRUE(pair_.away(DestinationId(0))) << "nobody calls what was learned so long ago usual";
+  EXPECT_TRUE(pair_.evicted(DestinationId(0))) << "learned state this old is dropped";
 }
 
-TEST_F(WorkingSetTest, WhatIsOutByHandIsKept) {
-  pair_.by_hand(DestinationId(0), HostId(0), true);
+TEST_F(WorkingSetTest, WhatIsDisabledByAnOperatorIsKept) {
+  pair_.set_disabled(DestinationId(0), HostId(0), true);
   others(100s);
-  EXPECT_FALSE(pair_.away(DestinationId(0)));
+  EXPECT_FALSE(pair_.evicted(DestinationId(0)));
 }
 
 TEST_F(WorkingSetTest, WhatDrainsIsKept) {
-  ask();
+  send_to();
   pair_.list({host(0, 0, 0, HostState::draining)});
   others(100s);
-  EXPECT_FALSE(pair_.away(DestinationId(0)));
+  EXPECT_FALSE(pair_.evicted(DestinationId(0)));
 }
 
 TEST_F(WorkingSetTest, NeededAgainWithinAMillisecondItIsCalledAtOnce) {
   others(2s);
-  ASSERT_TRUE(pair_.away(DestinationId(0)));
+  ASSERT_TRUE(pair_.evicted(DestinationId(0)));
   const std::size_t sends = pair_.sends();
-  ask();
+  send_to();
   pair_.step(1ms);
   EXPECT_EQ(pair_.sends(), sends + 1);
 }
 
-// Ids that are never seen again, each with a call: places are taken again.
+// Destinations that are added, lose their only host at once and are never seen again: records must be reused.
 TEST(WorkingSet, EndlessChangeKeepsNoMoreThanTheBoundAndWhatIsNotAtRest) {
   Settings s = settings(4, 1);
   s.max_destinations = 50;
@@ -306,9 +307,9 @@
   EXPECT_LE(most, 50U + 700U);
 }
 
-// Traffic moves from a few destinations to others; hosts fail, refuse, tell waits and limits, are replaced
-// and taken out by hand.
-void play(std::uint32_t relays, std::uint64_t seed, std::size_t& all_put_away, std::size_t& all_sends) {
+// Traffic moves between destinations; hosts fail, reject calls, request waits, report limits, are replaced
+// and are disabled by an operator.
+void play(std::uint32_t relays, std::uint64_t seed, std::size_t& all_evictions, std::size_t& all_sends) {
   SCOPED_TRACE(testing::Message() << relays << " relays, seed " << seed);
   constexpr std::uint32_t kAll = 12;
   Pair pair(relays, seed, 3);
@@ -320,34 +321,34 @@
   }
   pair.list(entries);
   std::vector<std::uint64_t> busy;
-  std::vector<std::pair<DestinationId, HostId>> out;
-  while (pair.now() < Time(500s)) {  // then even what was learned may go
+  std::vector<std::pair<DestinationId, HostId>> disabled;
+  while (pair.now() < Time(500s)) {  // long enough for learned state to be dropped
     busy = {pair.pick(kAll), pair.pick(kAll)};
-    const std::uint64_t mood = pair.pick(9);
+    const std::uint64_t behaviour = pair.pick(9);
     const auto odd = DestinationId{busy[0]};
     pair.answer.clear();
-    if (mood == 1) pair.answer[odd] = [] { return with(Result::connect_failed); };
-    if (mood == 2) pair.answer[odd] = [] { return with(Result::full, 700ms); };
-    if (mood == 3) pair.answer[odd] = [] { return with(Result::full, 150s); };
-    if (mood == 4)
+    if (behaviour == 1) pair.answer[odd] = [] { return with(Result::connect_failed); };
+    if (behaviour == 2) pair.answer[odd] = [] { return with(Result::full, 700ms); };
+    if (behaviour == 3) pair.answer[odd] = [] { return with(Result::full, 150s); };
+    if (behaviour == 4)
       pair.answer[odd] = [&pair] { return with(pair.pick(3) ? Result::delivered : Result::error); };
-    if (mood == 5)
+    if (behaviour == 5)
       pair.answer[odd] = [&pair] { return with(pair.pick(2) ? Result::reset : Result::delivered); };
-    if (mood == 6) {
+    if (behaviour == 6) {
       pair.answer[odd] = [] {
         Outcome o;
         o.elapsed = 1200ms;
         return o;
       };
     }
-    if (mood == 7) {
+    if (behaviour == 7) {
       pair.answer[odd] = [&pair] {
         Outcome o = with(pair.pick(3) ? Result::delivered : Result::full);
         o.report = LimitReport{static_cast<double>(pair.pick(10)) / 10, 20};
         return o;
       };
     }
-    if (mood == 8) pair.answer[odd] = [] { return with(Result::delivered, 150s); };
+    if (behaviour == 8) pair.answer[odd] = [] { return with(Result::delivered, 150s); };
     const std::uint64_t change = pair.pick(5);
     const auto changed = DestinationId{pair.pick(kAll)};
     if (change == 0 && pair.hosts()[changed].size() == 1) {
@@ -359,11 +360,11 @@
     }
     if (change == 1) {
       const HostId h = pair.hosts()[changed][0].host;
-      pair.by_hand(changed, h, true);
-      out.emplace_back(changed, h);
+      pair.set_disabled(changed, h, true);
+      disabled.emplace_back(changed, h);
     }
     if (change == 2) {
-      for (const auto& [d, h] : std::exchange(out, {})) pair.by_hand(d, h, false);
+      for (const auto& [d, h] : std::exchange(disabled, {})) pair.set_disabled(d, h, false);
     }
     const int messages = 3 + static_cast<int>(pair.pick(25));
     const Duration between = Duration(100'000 + 1000 * static_cast<std::int64_t>(pair.pick(3000)));
@@ -375,19 +376,19 @@
     pair.run(Duration(1s) * static_cast<std::int64_t>(pair.pick(90)));
     if (testing::Test::HasFatalFailure()) return;
   }
-  all_put_away += pair.put_away();
+  all_evictions += pair.evictions();
   all_sends += pair.sends();
 }
 
 TEST(WorkingSet, DecidesAsWithoutABound) {
-  std::size_t put_away = 0, sends = 0;
+  std::size_t evictions = 0, sends = 0;
   for (const std::uint32_t relays : {1, 4, 40}) {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-      play(relays, seed, put_away, sends);
+      play(relays, seed, evictions, sends);
       if (testing::Test::HasFatalFailure()) return;
     }
   }
-  EXPECT_GT(put_away, 1200U);
+  EXPECT_GT(evictions, 1200U);
   EXPECT_GT(sends, 15000U);
 }
 
