--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -25,18 +25,19 @@
 
 namespace {
 
-// Descriptors: most go to clients, who open a connection for every request that finds none free; of the rest,
-// hosts get what discovery, files, the second address and connections that are just being closed leave.
+// Shares of the descriptors. Most go to clients, who open a connection for every request that finds none
+// free; hosts get the rest without what discovery, files, the second address and closing connections need.
 constexpr double kClientShare = 0.54;
 constexpr double kHostShare = 0.43;
 constexpr double kIdleHostShare = 0.27;
-constexpr std::size_t kSetAside = 20 + AdminServer::kMaxConnections;
-constexpr std::size_t kLeastShared = 64;  // whatever another process holds
+constexpr std::size_t kReservedDescriptors = 20 + AdminServer::kMaxConnections;
+constexpr std::size_t kMinSharedDescriptors = 64;  // however many another process holds
 
-constexpr auto kLogEvery = 5s;  // one line at most
+constexpr auto kCounterLogInterval = 5s;
 
-std::size_t part_of(std::size_t descriptors, double share) {
-  const std::size_t shared = std::max(descriptors, kSetAside + kLeastShared) - kSetAside;
+std::size_t share_of(std::size_t descriptors, double share) {
+  const std::size_t shared =
+      std::max(descriptors, kReservedDescriptors + kMinSharedDescriptors) - kReservedDescriptors;
   return static_cast<std::size_t>(static_cast<double>(shared) * share);
 }
 
@@ -51,45 +52,43 @@
       owners_(executor, config_.state_folder,
               {.told =
                    [this](const std::string& owner, const CallRecord& record) {
-                     read_of_call(owner, record);
-                     decide_owed_ends();
+                     on_call_record(owner, record);
+                     decide_due_completions();
                    },
                .gone =
                    [this](const std::string& owner) {
-                     owner_gone(owner);
-                     decide_owed_ends();
+                     on_owner_exited(owner);
+                     decide_due_completions();
                    },
-               .none_left = [this] { no_owner_left(); }}),
+               .none_left = [this] { on_all_owners_exited(); }}),
       host_client_(
           executor,
           {.connect_timeout = config_.connect_timeout,
            .idle = config_.settings.connection_idle,
-           .most_idle = part_of(config_.descriptor_limit, kIdleHostShare),
-           .most = part_of(config_.descriptor_limit, kHostShare),
+           .most_idle = share_of(config_.descriptor_limit, kIdleHostShare),
+           .most = share_of(config_.descriptor_limit, kHostShare),
            .reports = config_.dialect.share_left && config_.dialect.calls_per_second,
            .before_last_byte =
                [this](const std::vector<CallItem>& items) { return record_before_last_byte(items); },
            .via = config_.copies ? config_.name : "",
-           .after_reports = [this] { decide_owed_ends(); }},
+           .after_reports = [this] { decide_due_completions(); }},
           [this](HostId host, const CallItem& item, const CallResult& result) {
-            reported(host, item, result);
+            on_outcome(host, item, result);
           },
-          [this](std::uint64_t call, CallEnd end) { call_over(call, end); }),
+          [this](std::uint64_t call, CallEnd end) { on_call_ended(call, end); }),
       endpoints_(config_.dialect, config_.settings, journal_, host_client_),
       discovery_(
           executor, config_.discovery,
-          [this](valedrum::catalog::ListReader& list, bool first) { return listed(list, first); },
-          [this](SteadyClock::duration silent, std::chrono::milliseconds again) {
-            watch_lost(silent, again);
+          [this](valedrum::catalog::ListReader& list, bool first) { return on_list(list, first); },
+          [this](SteadyClock::duration silent_for, std::chrono::milliseconds retry_in) {
+            on_watch_lost(silent_for, retry_in);
           },
-          [this](const std::string& message) { notice_settled(message); }),
+          [this](const std::string& message) { on_notice_settled(message); }),
       server_(
-          executor, std::move(listening), part_of(config_.descriptor_limit, kClientShare),
+          executor, std::move(listening), share_of(config_.descriptor_limit, kClientShare),
           [this] { return ready(); },
-          [this](HandIn message, Server::Respond respond) {
-            hand_in(std::move(message), std::move(respond));
-          },
-          [this](const std::string& id) { unheard(id); }),
+          [this](HandIn message, Server::Respond respond) { submit(std::move(message), std::move(respond)); },
+          [this](const std::string& id) { withdraw(id); }),
       step_timer_(executor),
       watch_timer_(executor),
       journal_timer_(executor),
@@ -98,21 +97,21 @@
       drain_timer_(executor) {
   if (config_.durability == valedrum::recovery::Durability::power)
     syncer_ = std::make_shared<Syncer>(executor_, [this] { return journal_.sync_later(); });
-  make_copies();
+  create_copies();
   if (!inherited) return;
   RecordReader in(*inherited);
-  inherited_ = read_inheritance(in, config_.dialect.hosts);
-  if (!inherited_) std::cerr << "myrtlegrade: what the old process knew can't be read" << std::endl;
+  inheritance_ = read_inheritance(in, config_.dialect.hosts);
+  if (!inheritance_) std::cerr << "myrtlegrade: what the old process knew can't be read" << std::endl;
 }
 
-void Relay::leave_descriptors(std::size_t count) {
+void Relay::reserve_descriptors(std::size_t count) {
   const std::size_t left = config_.descriptor_limit - std::min(count, config_.descriptor_limit);
-  server_.limit(part_of(left, kClientShare));
-  host_client_.limit(part_of(left, kIdleHostShare), part_of(left, kHostShare));
+  server_.limit(share_of(left, kClientShare));
+  host_client_.limit(share_of(left, kIdleHostShare), share_of(left, kHostShare));
 }
 
 std::size_t Relay::descriptors() const {
-  return server_.connections() + host_client_.connections() + kSetAside;
+  return server_.connections() + host_client_.connections() + kReservedDescriptors;
 }
 
 vetchhinge::Time Relay::now() const { return steady_time(); }
@@ -124,22 +123,22 @@
   return MessageId(last_id_);
 }
 
-// ---------------------------------------------------------------------------------- what happens
+// ------------------------------------------------------------------------------------ events
 
-void Relay::hand_in(HandIn message, Server::Respond respond) {
-  if (successor_) return successor_->hand_in(std::move(message), std::move(respond));
+void Relay::submit(HandIn message, Server::Respond respond) {
+  if (successor_) return successor_->submit(std::move(message), std::move(respond));
   const auto cls = config_.dialect.classes.find(message.cls);
   if (!cls) return respond({Answer::Kind::unknown_class});
   const bool keyed = config_.settings.classes[*cls].effect == Effect::deduplicated;
   if (keyed && message.key.empty()) return respond({Answer::Kind::key_missing});
-  if (known_already(message, respond)) return;
-  if (copied_elsewhere(message, respond)) return;
-  if (journal_.contains(message.id)) return respond({Answer::Kind::failed});  // its notice is not taken yet
+  if (answer_if_known(message, respond)) return;
+  if (answer_if_copied(message, respond)) return;
+  if (journal_.contains(message.id)) return respond({Answer::Kind::failed});  // its notice is pending
   if (!endpoints_.is_destination(message.destination)) {
     return respond({Answer::Kind::unknown_destination, whole_ms(config_.settings.max_wait_hint)});
   }
-  if (journal_.failing()) flush_journal();  // the folder may have recovered
-  const bool full = held_ >= config_.settings.max_open ||
+  if (journal_.failing()) flush_journal();  // the folder may be writable again
+  const bool full = open_count_ >= config_.settings.max_open ||
                     !journal_.has_room(message.body.size() + message.key.size() + message.id.size());
   if (full || closing_) {
     ++counters_.rejected_without_room;
@@ -148,7 +147,7 @@
   }
   message.deadline = deadline_of(message);
   const MessageId id = new_id();
-  Open open;
+  OpenMessage open;
   open.payload = std::make_shared<const Payload>(
       Payload{std::move(message.id), std::move(message.key), std::move(message.body)});
   open.cls = std::move(message.cls);
@@ -160,61 +159,64 @@
                       "time_left_ms", whole_ms(message.deadline.steady - now()).count());
   const vetchhinge::DestinationId destination{open.destination};
   open_.emplace(id, std::move(open));
-  ++held_;
-  arrivals_.push_back(id);
+  ++open_count_;
+  new_messages_.push_back(id);
   endpoints_.wake(message.destination, events_);
-  happened(vetchhinge::Message{id, *cls, destination, message.deadline.steady, {}, {}, {}});
+  post_event(vetchhinge::Message{id, *cls, destination, message.deadline.steady, {}, {}, {}});
 }
 
-// The client did not hear that its message is taken on, so it hands it in again elsewhere.
-void Relay::unheard(const std::string& id) {
-  if (successor_) return successor_->unheard(id);
+// The client did not get the answer that its message is accepted, so it submits the message elsewhere.
+void Relay::withdraw(const std::string& id) {
+  if (successor_) return successor_->withdraw(id);
   const auto found = ids_.find(id);
   if (found == ids_.end()) return;
   const MessageId message = found->second;
-  Open& open = open_.at(message);
-  // One that ends is told by its notice, which does no harm.
-  if (open.over || open.ending || --open.listeners > 0) return;
+  OpenMessage& open = open_.at(message);
+  // The end of a completing message is reported by its notice, which does no harm.
+  if (open.completed || open.completion_pending || --open.listeners > 0) return;
   MessageTrace::event(id, "withdrawn");
-  end_withdrawn(open);
+  complete_withdrawn(open);
   if (copies_) copies_->copies().complete(CopyNet::now(), id);
-  happened(vetchhinge::Withdrawn{message});
+  post_event(vetchhinge::Withdrawn{message});
   close_message(message);
 }
 
-void Relay::reported(HostId host, const CallItem& item, const CallResult& result) {
-  Open& open = open_.at(item.message);
-  Out* const out = find_out(open, item.attempt);
-  if (out) out->reported = true;
+void Relay::on_outcome(HostId host, const CallItem& item, const CallResult& result) {
+  OpenMessage& open = open_.at(item.message);
+  AttemptInFlight* const attempt = find_attempt(open, item.attempt);
+  if (attempt) attempt->reported = true;
   counters_.count_outcome(result.result);
   MessageTrace::event(open.payload->id, "outcome", "attempt", item.attempt, "result", name_of(result.result),
                       "over", result.over, "elapsed_ms", whole_ms(result.elapsed).count(), "wait_ms",
                       whole_ms(result.wait).count());
-  if (result.result == Result::delivered && !open.over) ++counters_.delivered;
-  if (result.result == Result::delivered && open.over) remember_delivered(open);
+  if (result.result == Result::delivered && !open.completed) ++counters_.delivered;
+  if (result.result == Result::delivered && open.completed) record_late_delivery(open);
   if (successor_) {
-    if (out && !out->elsewhere)
-      owners_.tell(CallRecord::of_outcome(out->call, open.payload->id, item.attempt, result));
+    if (attempt && !attempt->at_predecessor)
+      owners_.tell(CallRecord::of_outcome(attempt->call, open.payload->id, item.attempt, result));
     return successor_->outcome(open.payload->id, item.attempt, result);
   }
   Outcome outcome;
   outcome.id = item.message;
   outcome.attempt = item.attempt;
   outcome.result = result.result;
-  outcome.terminal = result.over || open.over;
+  outcome.terminal = result.over || open.completed;
   outcome.wait = result.wait;
   outcome.elapsed = result.elapsed;
   outcome.report = result.report;
   outcome.connection = result.connection;
-  happened(outcome);
-  // A wait binds from the answer's arrival, not from the next step: what still connects must not go out.
+  post_event(outcome);
+  // The server's backoff applies from the arrival of the answer, not from the next step: calls that still
+  // connect must not be sent.
   if (result.wait > 0us) endpoints_.withhold_told(host);
-  if (!open.over) {
-    if (!result.over) open.ended.push_back({item.attempt, endpoints_.name(host), name_of(result.result)});
+  if (!open.completed) {
+    if (!result.over)
+      open.ended_attempts.push_back({item.attempt, endpoints_.name(host), name_of(result.result)});
     if (result.over) {
       const bool delivered = result.result == Result::delivered;
-      journal_.complete(open.payload->id, ended(open, delivered ? Ended::Told::taken : Ended::Told::failed));
-      // Delivered before all have said that they hold it: there is nothing left to hold.
+      journal_.complete(open.payload->id,
+                        completion_record(open, delivered ? Ended::Told::taken : Ended::Told::failed));
+      // Delivered before all members confirmed their copies: the message needs no copies any more.
       if (open.respond) {
         ++counters_.accepted;
         std::exchange(open.respond, nullptr)({Answer::Kind::taken});
@@ -231,71 +233,71 @@
           CopyNet::now(), open.payload->id, item.attempt,
           never_ran(result.result) ? AttemptState::never_ran : AttemptState::may_have_run);
     }
-    if (!result.over && !may_be_called_again(open)) end_owed_ = true;
+    if (!result.over && !may_be_called_again(open)) completion_due_ = true;
   }
-  if (result.over || open.over) close_message(item.message);
+  if (result.over || open.completed) close_message(item.message);
 }
 
-// Its work may not be repeated.
-bool Relay::runs_once(const std::string& cls) const {
+bool Relay::is_at_most_once(const std::string& cls) const {
   const auto known = config_.dialect.classes.find(cls);
   return known && config_.settings.classes[*known].effect == Effect::at_most_once;
 }
 
-bool Relay::may_be_called_again(const Open& open) const {
-  const bool may_not_repeat = open.may_have_run && runs_once(open.cls);
+bool Relay::may_be_called_again(const OpenMessage& open) const {
+  const bool may_not_repeat = open.may_have_run && is_at_most_once(open.cls);
   return open.attempts < config_.settings.max_attempts && !may_not_repeat;
 }
 
-// A connection may come up, or be proven, after the message has got its final answer: then it must not go
-// out.
-bool Relay::may_leave(const CallItem& item) const {
+// A connection may open, or be verified, after the message has been completed: then the message must not be
+// sent.
+bool Relay::may_be_sent(const CallItem& item) const {
   const auto found = open_.find(item.message);
-  if (found == open_.end() || found->second.over || found->second.ending) return false;
+  if (found == open_.end() || found->second.completed || found->second.completion_pending) return false;
   return !copies_ || copies_->copies().may_call(CopyNet::now(), item.payload->id);
 }
 
-bool Relay::listed(valedrum::catalog::ListReader& list, bool first) {
+bool Relay::on_list(valedrum::catalog::ListReader& list, bool first) {
   if (first) ++counters_.list_updates;
   bool more = false;
   if (list.full()) {
     endpoints_.take_whole(list.version(), list.take_entries(), vetchhinge::HostList::Kind::whole, events_);
-    tidy_list();
+    compact_list();
   } else {
     more = endpoints_.take_changes(list.version(), list.entries(), first, events_);
   }
-  schedule();
+  schedule_step();
   return more;
 }
 
-void Relay::tidy_list() {
+void Relay::compact_list() {
   run_in_slices(executor_, [this] { return endpoints_.tidy(); });
 }
 
-// Where the list comes on request, the module asks for it. Where it comes by itself the module never does:
-// on sockets too it comes through a watch, which is the relay's to keep open.
-void Relay::watch_lost(SteadyClock::duration silent, std::chrono::milliseconds again) {
+// With a list on request the module decides when to resubscribe. A pushed list also arrives through a watch,
+// but the module never requests it: the relay itself keeps that watch open.
+void Relay::on_watch_lost(SteadyClock::duration silent_for, std::chrono::milliseconds retry_in) {
   ++counters_.watch_failures;
   if (config_.settings.list_on_request) {
-    happened(vetchhinge::HostList{
-        vetchhinge::HostList::Kind::lost, {}, std::chrono::duration_cast<Duration>(silent)});
+    post_event(vetchhinge::HostList{
+        vetchhinge::HostList::Kind::lost, {}, std::chrono::duration_cast<Duration>(silent_for)});
     return;
   }
-  watch_timer_.expires_after(again);
+  watch_timer_.expires_after(retry_in);
   watch_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) discovery_.watch(endpoints_.version());
   });
 }
 
-// ----------------------------------------------------------------------------------------- steps
+// ------------------------------------------------------------------------------------- steps
 
-void Relay::happened(vetchhinge::Event event) {
+void Relay::post_event(vetchhinge::Event event) {
   events_.push_back(std::move(event));
-  schedule();
+  schedule_step();
 }
 
-// The next step: a tick after the last at the earliest, now if something happened, else at a timer.
-void Relay::schedule() {
+// Schedules the next step: at once if there are events, else at the next timer, and never earlier than one
+// tick after the last step.
+void Relay::schedule_step() {
   if (closing_) return;
   auto at = timers_.empty() ? SteadyClock::time_point::max() : timers_.begin()->first;
   if (!events_.empty()) at = SteadyClock::time_point::min();
@@ -308,11 +310,11 @@
   });
 }
 
-// An end is owed within 150 ms of the outcome that leaves a message no other: it waits neither for a tick nor
-// for another turn of the event loop, each of which may be held up.
-void Relay::decide_owed_ends() {
-  take_up_ended();
-  if (std::exchange(end_owed_, false)) step();
+// A message has to be completed within 150 ms of the outcome that leaves it no further attempt. So it waits
+// neither for a tick nor for another turn of the event loop: the process may stall before each of them.
+void Relay::decide_due_completions() {
+  restore_completable();
+  if (std::exchange(completion_due_, false)) step();
 }
 
 void Relay::step() {
@@ -323,12 +325,12 @@
     events_.emplace_back(vetchhinge::Timer{timers_.begin()->second});
     timers_.erase(timers_.begin());
   }
-  carry_out(sender_.step(now(), std::exchange(events_, {})));
-  schedule();
+  execute(sender_.step(now(), std::exchange(events_, {})));
+  schedule_step();
 }
 
-void Relay::carry_out(const std::vector<vetchhinge::Action>& actions) {
-  // First what is to be remembered goes to disk, then clients are answered and calls go out.
+void Relay::execute(const std::vector<vetchhinge::Action>& actions) {
+  // The journal is written before clients are answered and calls are sent.
   std::vector<std::pair<MessageId, Answer>> answers;
   for (const auto& action : actions) {
     if (const auto* refuse = std::get_if<vetchhinge::Refuse>(&action)) {
@@ -348,10 +350,10 @@
   const auto answered = [&](MessageId id) {
     return std::ranges::any_of(answers, [id](const auto& a) { return a.first == id; });
   };
-  std::vector<MessageId> taken, not_held;
-  for (const MessageId id : std::exchange(arrivals_, {})) {
+  std::vector<MessageId> accepted, not_replicated;
+  for (const MessageId id : std::exchange(new_messages_, {})) {
     if (answered(id)) continue;
-    const Open& open = open_.at(id);
+    const OpenMessage& open = open_.at(id);
     journal_.accept({open.payload->id,
                      open.cls,
                      open.destination,
@@ -359,46 +361,46 @@
                      open.payload->body,
                      open.deadline,
                      {}});
-    if (copies_ && !copy(open)) {
+    if (copies_ && !replicate(open)) {
       journal_.complete(open.payload->id);
-      not_held.push_back(id);
+      not_replicated.push_back(id);
     } else {
-      taken.push_back(id);
+      accepted.push_back(id);
     }
   }
   Calls calls;
   for (const auto& action : actions) {
     if (const auto* send = std::get_if<vetchhinge::Send>(&action)) add_to_call(calls, *send);
   }
-  lead_with_longest(calls);
-  const bool kept = flush_journal();
+  sort_by_remaining_time(calls);
+  const bool journaled = flush_journal();
   for (const auto& [id, answer] : answers) {
-    Open& open = open_.at(id);
+    OpenMessage& open = open_.at(id);
     MessageTrace::event(open.payload->id, "answered", "kind", name_of(answer.kind));
-    if (copies_) {  // it may have been copied, and not been promised yet
+    if (copies_) {  // it may have been replicated before its acceptance was confirmed
       journal_.complete(open.payload->id);
       copies_->copies().complete(CopyNet::now(), open.payload->id);
     }
     std::exchange(open.respond, nullptr)(answer);
     close_message(id);
   }
-  for (const MessageId id : taken) {
-    if (!kept) {
-      take_back(id);  // what can't be written down can't be taken on
+  for (const MessageId id : accepted) {
+    if (!journaled) {
+      cancel_acceptance(id);  // a message that is not journaled can't be accepted
     } else {
-      promise(id);
+      request_acceptance(id);
     }
   }
-  for (const MessageId id : not_held) take_back(id);
-  if (!kept) not_sent(calls);
+  for (const MessageId id : not_replicated) cancel_acceptance(id);
+  if (!journaled) withhold_calls(calls);
   for (const auto& action : actions) {
     std::visit(
         [this](const auto& a) {
           using A = std::decay_t<decltype(a)>;
           if constexpr (std::is_same_v<A, vetchhinge::Refuse>) {
-            end_undelivered(a.id, {{}, true, whole_ms(a.wait)});
+            complete_undelivered(a.id, {{}, true, whole_ms(a.wait)});
           } else if constexpr (std::is_same_v<A, vetchhinge::Fail>) {
-            end_undelivered(a.id, {{}, false, {}});
+            complete_undelivered(a.id, {{}, false, {}});
           } else if constexpr (std::is_same_v<A, vetchhinge::SetTimer>) {
             timers_.emplace(SteadyClock::now() + a.after, a.token);
           } else if constexpr (std::is_same_v<A, vetchhinge::SubscribeHostList>) {
@@ -411,82 +413,83 @@
         },
         action);
   }
-  tell_ends(flush_journal());
-  if (kept) call_when_known(std::move(calls));
+  report_completions(flush_journal());
+  if (journaled) call_when_recorded(std::move(calls));
   if (copies_) copies_->turn();
 }
 
-// Sends of one step to one host travel together, as many as a call there carries.
+// Combines the sends of one step to one host into calls of up to the batch size of the host's kind.
 void Relay::add_to_call(Calls& calls, const vetchhinge::Send& send) {
-  Open& open = open_.at(send.id);
+  OpenMessage& open = open_.at(send.id);
   const Endpoints::Host& host = endpoints_.at(send.host);
   const auto same = [&](const DecidedCall& call) { return call.host == send.host; };
   const auto last = std::ranges::find_if(calls.rbegin(), calls.rend(), same);
-  const std::size_t most = config_.settings.kinds[host.kind].batch;
-  const bool joins = last != calls.rend() && last->items.size() < most;
+  const std::size_t max_items = config_.settings.kinds[host.kind].batch;
+  const bool joins = last != calls.rend() && last->items.size() < max_items;
   DecidedCall& call = joins ? *last : calls.emplace_back(DecidedCall{++last_call_, send.host, {}});
   if (open.attempts > 0) ++counters_.retries;
   MessageTrace::event(open.payload->id, "call", "attempt", open.attempts, "endpoint",
                       endpoints_.name(send.host), "timeout_ms", whole_ms(send.timeout).count());
   const vetchhinge::Time decided = steady_time(last_step_);
-  const Out& out = open.out.emplace_back(Out{open.attempts, send.host, call.number, read_clocks()});
-  if (open.attempts > 0) log_repeat(open, out);
-  CallOut& booked = calls_[call.number];
-  booked.host = send.host;
-  booked.begun = out.sent;
-  booked.messages.push_back(send.id);
+  const AttemptInFlight& attempt =
+      open.in_flight.emplace_back(AttemptInFlight{open.attempts, send.host, call.number, read_clocks()});
+  if (open.attempts > 0) log_retry(open, attempt);
+  CallInFlight& call_in_flight = calls_in_flight_[call.number];
+  call_in_flight.host = send.host;
+  call_in_flight.started_at = attempt.sent_at;
+  call_in_flight.messages.push_back(send.id);
   call.items.push_back({send.id, open.attempts++, open.payload, decided + send.timeout,
                         send.max_connection_idle, send.verify_connection, send.write_deadline});
   endpoints_.call_begins(send.host);
-  if (records_at_decision()) record_attempt(open, open.out.back());
-  if (copies_) copy_attempt(open, endpoints_.name(send.host), host.zone);
+  if (records_at_decision()) record_attempt(open, open.in_flight.back());
+  if (copies_) replicate_attempt(open, endpoints_.name(send.host), host.zone);
 }
 
-// A host may keep the time of a call by the message that it names first: its answer counts for none of the
-// others once that one's time is up. So the one with the most time left leads.
-void Relay::lead_with_longest(Calls& calls) const {
+// A host may apply the deadline of the first message to the whole call; its answer then counts for no message
+// once that deadline has passed. So the message with the latest deadline comes first.
+void Relay::sort_by_remaining_time(Calls& calls) const {
   for (DecidedCall& call : calls) {
     std::ranges::stable_sort(call.items, std::greater{},
                              [this](const CallItem& item) { return open_.at(item.message).deadline.steady; });
   }
 }
 
-void Relay::not_sent(const Calls& calls) {
-  for (const DecidedCall& call : calls) never_called(call.number, call.host, call.items);
+void Relay::withhold_calls(const Calls& calls) {
+  for (const DecidedCall& call : calls) withhold_call(call.number, call.host, call.items);
 }
 
-// It has its final answer. Attempts still out keep the entry until they are over.
+// Marks a message as completed. The entry stays until its attempts in flight have ended.
 void Relay::close_message(MessageId id) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
-  Open& open = found->second;
-  if (!std::exchange(open.over, true)) --held_;
-  if (!open.out.empty()) return;
+  OpenMessage& open = found->second;
+  if (!std::exchange(open.completed, true)) --open_count_;
+  if (!open.in_flight.empty()) return;
   const std::string name = open.payload->id;
   ids_.erase(name);
   open_.erase(found);
-  if (const auto later = inherited_later_.extract(name)) inherit(later.mapped());
+  if (const auto later = deferred_ownership_.extract(name)) on_ownership_gained(later.mapped());
 }
 
-// -------------------------------------------------------------------------------------------- log
+// --------------------------------------------------------------------------------------- log
 
-// A quiet relay writes nothing: the volume stays bounded by the time that it works.
+// Logs the counters if they have changed, so that an idle relay writes nothing.
 void Relay::log_counters() {
-  if (counters_ == logged_) return;
-  logged_ = counters_;
-  std::cerr << "myrtlegrade: " << counters_ << " held=" << held_ << " calls_out=" << host_client_.calls_out()
-            << " connections=" << host_client_.connections() << " opened=" << host_client_.opened()
-            << " clients=" << server_.connections() << std::endl;
+  if (counters_ == logged_counters_) return;
+  logged_counters_ = counters_;
+  std::cerr << "myrtlegrade: " << counters_ << " held=" << open_count_
+            << " calls_out=" << host_client_.calls_out() << " connections=" << host_client_.connections()
+            << " opened=" << host_client_.opened() << " clients=" << server_.connections() << std::endl;
   const std::string absorbed = to_text(absorbed_failures());
   if (!absorbed.empty()) std::cerr << "myrtlegrade: absorbed: " << absorbed << std::endl;
 }
 
-void Relay::keep_log() {
-  log_timer_.expires_after(kLogEvery);
+void Relay::schedule_counter_log() {
+  log_timer_.expires_after(kCounterLogInterval);
   log_timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     log_counters();
-    keep_log();
+    schedule_counter_log();
   });
 }
 
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -1,5 +1,6 @@
-// The one owner of what the relay has taken on: turns what happens into the module's events, and carries its
-// actions out. Every decision about a message is the module's.
+// The relay's core: owns the messages that the relay has accepted, turns what happens to them into events of
+// the decision module and executes the actions that the module returns. Every decision about a message is the
+// module's. The class is implemented in relay.cpp and in the relay_*.cpp files, one for each aspect.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -33,127 +34,138 @@
 
 class Relay {
  public:
-  // With what an earlier process that gave over knew, where there is one.
+  // `inherited` is the state that a predecessor handed over, if there is one.
   Relay(boost::asio::any_io_executor executor, Config config, boost::asio::ip::tcp::acceptor listening,
         std::optional<std::string> inherited);
   ~Relay();
 
-  // Takes up what the journal holds, and begins to work.
+  // Restores the messages in the journal and starts to accept and send.
   void start();
 
   Endpoint address() const { return server_.address(); }
   int listening_descriptor() { return server_.listening_descriptor(); }
 
-  // The journal is read back and hosts are known.
+  // True once the journal has been read and hosts are known.
   bool ready() const { return endpoints_.known(); }
 
-  // The platform's service is elsewhere from now on. All that is open here goes on.
+  // Uses the platform's service at another address from now on. Open messages and calls are not affected.
   void move_discovery(const Endpoint& address) { discovery_.move(address, endpoints_.version()); }
 
-  // Works on for a short while with what can still be finished, then lets calls out end. `done` is called
-  // when the process may go; what is owed then stays in the journal. `since`: when it was told to end.
+  // Keeps working for a short time on what can still be finished, then closes the calls in flight. Calls
+  // `done` when the process may exit; messages and notices that are still pending then stay in the journal.
+  // `since` is the time at which the process was asked to end.
   void drain(std::function<void()> done, std::chrono::steady_clock::time_point since);
 
-  // ------------------------------------------------------------------ from one process to the next
-  // Where all goes that comes to this process after it has given over.
+  // ------------------------------------------------------------------ handover between processes
+  // Forwards to the successor what reaches this process after it has handed over.
   struct Successor {
-    std::function<void(HandIn, Server::Respond)> hand_in;
-    std::function<void(const std::string& id)> unheard;
+    std::function<void(HandIn, Server::Respond)> submit;
+    std::function<void(const std::string& id)> withdraw;
     std::function<void(const std::string& id, std::uint32_t attempt, const CallResult& result)> outcome;
-    std::function<void(std::uint64_t call, CallEnd end)> call_over;
-    std::function<bool()> told_all;
+    std::function<void(std::uint64_t call, CallEnd end)> call_ended;
+    std::function<bool()> all_reported;
   };
-  // Decides a last time, and writes nothing any more. What is out ends here; the rest as with drain(), which
-  // may have begun before.
-  RecordWriter give_over(Successor successor, std::function<void()> done,
+  // Runs a last step, stops writing to the journal and returns the state for the successor. Calls in flight
+  // end in this process; everything else is as with drain(), which may have begun before.
+  RecordWriter hand_over(Successor successor, std::function<void()> done,
                          std::chrono::steady_clock::time_point since);
-  // It decides nothing any more, and takes nothing on.
+  // True once this process decides nothing and accepts nothing any more.
   bool closing() const { return closing_; }
 
-  // What the earlier process tells after that. Only a final answer counts before the call is over: a message
-  // that is not over is kept back for as long as the call's connection is open.
-  void reported_elsewhere(const std::string& id, std::uint32_t attempt, const CallResult& result);
-  void call_over_elsewhere(std::uint64_t call, CallEnd end);
-  // Behind both, in the same turn of the event loop: ends that are owed at once.
-  void decide_owed_ends();
-  // The link to it has ended, which proves nothing of its connections: see CallOwners.
-  void predecessor_gone();
-  // Nobody takes up what becomes of the calls that are out here: they end at once.
-  void successor_gone();
-  // Of this process among CallOwners; empty where none can read what it tells of its calls.
+  // Handle the predecessor's reports about its calls after the handover. Before the call has ended only a
+  // final outcome takes effect: a message without one is not called again while the call's connection is
+  // open.
+  void on_predecessor_outcome(const std::string& id, std::uint32_t attempt, const CallResult& result);
+  void on_predecessor_call_ended(std::uint64_t call, CallEnd end);
+  // Must follow both of the above in the same turn of the event loop: completes the messages that are due.
+  void decide_due_completions();
+  // The link to the predecessor has closed, which proves nothing about its connections (see CallOwners).
+  void on_predecessor_disconnected();
+  // No successor follows the calls that are in flight here: closes them at once.
+  void on_successor_lost();
+  // Returns the name of this process among CallOwners; empty where no other process can read its call
+  // records.
   const std::string& owner_name() const { return owners_.name(); }
-  CallOwners::Life life_of(const std::string& owner) const { return owners_.life_of(owner); }
-  // This process knows all that the one before it had out at the hand-over.
-  bool knows_calls() const { return knows_calls_; }
+  CallOwners::Life owner_state(const std::string& owner) const { return owners_.life_of(owner); }
+  // True if this process knows all calls that its predecessor had in flight at the handover.
+  bool knows_predecessor_calls() const { return knows_predecessor_calls_; }
 
-  // So many are in use by another process that counts with this one.
-  void leave_descriptors(std::size_t count);
+  // Leaves `count` descriptors to another process that shares this one's limit.
+  void reserve_descriptors(std::size_t count);
   std::size_t descriptors() const;
 
-  // Where copies are configured.
+  // Null where copies are not configured.
   const std::shared_ptr<CopyNet>& copies() const { return copies_; }
 
-  void hand_in(HandIn message, Server::Respond respond);
-  void unheard(const std::string& id);
+  // Takes a client's message and answers it through `respond`, at once or once the message is durable.
+  void submit(HandIn message, Server::Respond respond);
+  // The client of this message went away before it had its answer.
+  void withdraw(const std::string& id);
 
-  // The operators' call, in one line each way.
-  std::string called(const std::string& line);
+  // Executes an operator's command and returns the answer; both are one line.
+  std::string execute_admin_command(const std::string& line);
 
  private:
-  struct Out {  // an attempt whose call is not over
+  // An attempt whose call has not ended.
+  struct AttemptInFlight {
     std::uint32_t attempt = 0;
     vetchhinge::HostId host{};
     std::uint64_t call = 0;
-    Moment sent{};
-    bool elsewhere = false;            // at an earlier process
-    bool reported = false;             // the module has its outcome
-    std::optional<CallResult> told{};  // of one elsewhere: its outcome once the call is over
-    bool recorded = false;             // the journal has it as one that may run
+    Moment sent_at{};
+    bool at_predecessor = false;
+    bool reported = false;  // the module has its outcome
+    // Only of an attempt at a predecessor: its outcome, reported once the call has ended.
+    std::optional<CallResult> deferred_outcome{};
+    bool recorded = false;  // the journal has it as one that may have run
   };
-  struct CallOut {  // a call that is not over
+  // A call that has not ended.
+  struct CallInFlight {
     vetchhinge::HostId host{};
-    Moment begun{};
-    std::string owner;  // the earlier process that has it out; empty: this one
+    Moment started_at{};
+    std::string owner;  // the predecessor that made it; empty: this process
     std::vector<vetchhinge::MessageId> messages;
-    bool elsewhere = false;
+    bool at_predecessor = false;
   };
-  struct EndedAttempt {  // of a message that was not delivered by it
+  // An attempt that has ended without delivering its message.
+  struct EndedAttempt {
     std::uint32_t number = 0;
     std::string endpoint;
     std::string_view outcome;
   };
-  struct Open {  // a message that is not over, or still has an attempt out
+  // A message that is not completed, or still has an attempt in flight.
+  struct OpenMessage {
     std::shared_ptr<const Payload> payload;
     std::string cls;
     std::uint64_t destination = 0;
     Moment deadline;
     Server::Respond respond;      // set until the client has its answer
-    std::uint32_t listeners = 1;  // connections that handed it in and may hear the answer
+    std::uint32_t listeners = 1;  // connections that submitted it and may get the answer
     std::uint32_t attempts = 0;
-    std::vector<Out> out;
-    std::vector<EndedAttempt> ended;
-    bool over = false;
-    bool ending = false;        // given up, and not told yet
-    bool may_have_run = false;  // an attempt that has ended
-    bool content_known = true;  // false: of an earlier process, and over; only its call counts
-    bool predecessor_call_open =
-        false;  // of a process that nothing is known of but that it may still have it out
+    std::vector<AttemptInFlight> in_flight;
+    std::vector<EndedAttempt> ended_attempts;
+    bool completed = false;
+    bool completion_pending = false;  // given up, and not reported yet
+    bool may_have_run = false;        // by an attempt that has ended
+    bool content_known = true;        // false: completed by a predecessor, and only its call still counts
+    // An unknown predecessor may still have it in flight.
+    bool predecessor_call_open = false;
 
-    std::uint64_t content() const {
+    std::uint64_t fingerprint() const {
       return fingerprint_of_content(cls, destination, payload->key, payload->body);
     }
-    bool is(const HandIn& m) const {
+    bool matches(const HandIn& m) const {
       return cls == m.cls && destination == m.destination && payload->key == m.key && payload->body == m.body;
     }
   };
-  // What its client sends once more is the same message.
-  bool known_already(const HandIn& message, Server::Respond& respond);
-  Answer answer_of(const Ended& ended, const HandIn& message) const;
-  Answer answer_of(const Open& withdrawn, const HandIn& message);
-  Ended ended(const Open& open, Ended::Told told, std::chrono::milliseconds retry_in = {}) const;
-  void end_withdrawn(const Open& open);
+  // Answers a message that its client submits again as the first submission was answered; false if it is new.
+  bool answer_if_known(const HandIn& message, Server::Respond& respond);
+  Answer answer_for(const Ended& ended, const HandIn& message) const;
+  Answer answer_for(const OpenMessage& withdrawn, const HandIn& message);
+  Ended completion_record(const OpenMessage& open, Ended::Told told,
+                          std::chrono::milliseconds retry_in = {}) const;
+  void complete_withdrawn(const OpenMessage& open);
   Moment deadline_of(const HandIn& message) const;
-  void remember_delivered(const Open& over);
+  void record_late_delivery(const OpenMessage& over);
   struct DecidedCall {
     std::uint64_t number = 0;
     vetchhinge::HostId host{};
@@ -161,161 +173,169 @@
   };
   using Calls = std::vector<DecidedCall>;
 
-  void reported(vetchhinge::HostId host, const CallItem& item, const CallResult& result);
-  bool listed(valedrum::catalog::ListReader& list, bool first);
-  void tidy_list();
-  void watch_lost(std::chrono::steady_clock::duration silent, std::chrono::milliseconds again);
-  void take_up(const StoredMessage& stored, const OutCall* out, const std::vector<bool>& astray = {});
-  void take_up_out(const OutCall& out);
-  vetchhinge::PastAttempt past(Open& open, const OutCall& out, vetchhinge::Time sent);
-  std::vector<OutCall> calls_out() const;
-  Out* find_out(Open& open, std::uint32_t attempt);
-  void call_over(std::uint64_t call, CallEnd end);
-  void never_called(std::uint64_t call, vetchhinge::HostId host, const std::vector<CallItem>& items);
-  void free_descriptors();
-  bool is_out_at(const std::string& owner, std::uint64_t call) const;
-  void read_of_call(const std::string& owner, const CallRecord& record);
-  void owner_gone(const std::string& owner);
-  void no_owner_left();
+  void on_outcome(vetchhinge::HostId host, const CallItem& item, const CallResult& result);
+  bool on_list(valedrum::catalog::ListReader& list, bool first);
+  void compact_list();
+  void on_watch_lost(std::chrono::steady_clock::duration silent, std::chrono::milliseconds again);
+  void restore_message(const StoredMessage& stored, const OutCall* out,
+                       const std::vector<bool>& orphaned = {});
+  void restore_call_in_flight(const OutCall& out);
+  vetchhinge::PastAttempt restore_attempt_in_flight(OpenMessage& open, const OutCall& out,
+                                                    vetchhinge::Time sent);
+  std::vector<OutCall> calls_in_flight() const;
+  AttemptInFlight* find_attempt(OpenMessage& open, std::uint32_t attempt);
+  void on_call_ended(std::uint64_t call, CallEnd end);
+  // Reports a call that was decided, and is not sent, as such.
+  void withhold_call(std::uint64_t call, vetchhinge::HostId host, const std::vector<CallItem>& items);
+  void release_reserved_descriptors();
+  bool is_in_flight_at(const std::string& owner, std::uint64_t call) const;
+  void on_call_record(const std::string& owner, const CallRecord& record);
+  void on_owner_exited(const std::string& owner);
+  void on_all_owners_exited();
   bool cut_calls();
-  void log_hand_over(const std::vector<OutCall>& calls);
+  void log_handover(const std::vector<OutCall>& calls);
   void log_inherited(const std::vector<OutCall>& calls);
-  void log_repeat(const Open& open, const Out& out);
-  void log_read_end(const std::string& owner, const CallRecord& record);
-  void log_call_over(std::uint64_t number, const CallOut& call, CallEnd end);
+  void log_retry(const OpenMessage& open, const AttemptInFlight& attempt);
+  void log_recorded_call_end(const std::string& owner, const CallRecord& record);
+  void log_call_end(std::uint64_t number, const CallInFlight& call, CallEnd end);
 
-  std::string take_out(const std::string& host);
-  std::string put_back(const std::string& host);
-  void tell_by_hand(const std::string& host, bool out);
+  std::string disable_host(const std::string& host);
+  std::string enable_host(const std::string& host);
+  void apply_operator_override(const std::string& host, bool disabled);
 
-  void happened(vetchhinge::Event event);
-  void schedule();
+  void post_event(vetchhinge::Event event);
+  void schedule_step();
   void step();
-  void carry_out(const std::vector<vetchhinge::Action>& actions);
+  void execute(const std::vector<vetchhinge::Action>& actions);
   void add_to_call(Calls& calls, const vetchhinge::Send& send);
-  void lead_with_longest(Calls& calls) const;
-  void not_sent(const Calls& calls);
-  struct UntoldEnd {  // of a message that was taken on
+  void sort_by_remaining_time(Calls& calls) const;
+  void withhold_calls(const Calls& calls);
+  // The completion of an accepted message that was not delivered.
+  struct PendingCompletion {
     vetchhinge::MessageId message{};
     Notice notice;
-    vetchhinge::Time due{};  // told by then, written or not
+    vetchhinge::Time due{};  // reported by then, whether the journal has it or not
   };
-  void end_undelivered(vetchhinge::MessageId id, Notice notice);
+  void complete_undelivered(vetchhinge::MessageId id, Notice notice);
   bool flush_journal();
-  void tell_ends(bool kept);
-  void retry_journal();
+  void report_completions(bool journaled);
+  void schedule_journal_retry();
   void close_message(vetchhinge::MessageId id);
-  bool may_leave(const CallItem& item) const;
-  bool runs_once(const std::string& cls) const;
-  bool may_be_called_again(const Open& open) const;
+  bool may_be_sent(const CallItem& item) const;
+  bool is_at_most_once(const std::string& cls) const;
+  bool may_be_called_again(const OpenMessage& open) const;
   bool records_at_decision() const { return copies_ || syncer_; }
-  void record_attempt(const Open& open, Out& out);
-  bool keeps_rules(const CallItem& item);
+  void record_attempt(const OpenMessage& open, AttemptInFlight& attempt);
+  bool satisfies_send_rules(const CallItem& item);
   bool record_before_last_byte(const std::vector<CallItem>& items);
-  void drain_further();
+  void continue_drain();
   void log_counters();
-  void keep_log();
+  void schedule_counter_log();
 
   vetchhinge::MessageId new_id();
   vetchhinge::Time now() const;
 
   // ------------------------------------------------------------------ relay_copies.cpp
-  static constexpr std::uint64_t kUndurable = std::uint64_t{1} << 63;
-  struct PendingCall : DecidedCall {  // until others know what it means to do, and the disk does
-    std::uint64_t withheld = 0;       // as it was then
+  static constexpr std::uint64_t kDiskTicketBit = std::uint64_t{1} << 63;
+  // A call that waits until its intent is recorded by the copies group and on disk.
+  struct PendingCall : DecidedCall {
+    std::uint64_t withhold_count = 0;  // of its host, when the call was decided
   };
-  struct Waiting {  // found in the journal, and not known yet whether it is still this relay's to end
+  // A message found in the journal while it is not known yet whether this relay still owns it.
+  struct UnconfirmedMessage {
     StoredMessage stored;
-    std::optional<OutCall> out;
+    std::optional<OutCall> predecessor_call;
   };
-  // Once all that the journal has by now outlasts what it has to outlast; false: that can't be known.
+  // Calls `then` once everything journaled so far survives a loss of power, where `power` is configured. The
+  // argument is false if that can't be guaranteed.
   void when_durable(Syncer::Callback then);
-  void make_copies();
-  bool copied_elsewhere(const HandIn& message, const Server::Respond& respond) const;
-  bool copy(const Open& open);
-  void copy_attempt(const Open& open, const std::string& host, const std::string& zone);
-  void promise(vetchhinge::MessageId id);
-  void keep_promise(vetchhinge::MessageId id, bool good);
-  void await_copies(PendingCall call);
-  void release(PendingCall call, bool good);
-  void tell_now(Notice notice, bool waits);
-  void take_back(vetchhinge::MessageId id);
-  void call_when_known(Calls calls);
-  void tell(Notice notice);
-  void notice_settled(const std::string& message);
-  void on_copies(const valedrum::copies::CopyEvent& event);
-  void on_done(const valedrum::copies::TicketCompleted& done);
-  void inherit(const valedrum::copies::OwnershipGained& inherited);
-  void give_up(const std::string& id);
-  void expired(const valedrum::copies::Expired& expired);
-  void settle_pending();
+  void create_copies();
+  bool answer_if_copied(const HandIn& message, const Server::Respond& respond) const;
+  bool replicate(const OpenMessage& open);
+  void replicate_attempt(const OpenMessage& open, const std::string& host, const std::string& zone);
+  void request_acceptance(vetchhinge::MessageId id);
+  void finish_acceptance(vetchhinge::MessageId id, bool succeeded);
+  void await_replication(PendingCall call);
+  void release_call(PendingCall call, bool succeeded);
+  void send_notice_when_replicated(Notice notice, bool durable);
+  void cancel_acceptance(vetchhinge::MessageId id);
+  void call_when_recorded(Calls calls);
+  void send_notice(Notice notice);
+  void on_notice_settled(const std::string& message);
+  void on_copy_event(const valedrum::copies::CopyEvent& event);
+  void on_ticket_completed(const valedrum::copies::TicketCompleted& done);
+  void on_ownership_gained(const valedrum::copies::OwnershipGained& inherited);
+  void on_ownership_lost(const std::string& id);
+  void on_expired(const valedrum::copies::Expired& expired);
+  void cancel_pending();
 
   // ------------------------------------------------------------------ relay_waiting.cpp
-  void told_of_waiting(const std::string& id, std::uint32_t attempt, const CallResult& result);
-  void call_of_waiting_over(std::uint64_t call, CallEnd end);
-  void owner_of_waiting_gone(const std::string& owner);
-  bool can_only_end(const Waiting& waiting) const;
-  void take_up_ended();
-  void apply_told(const OutCall& out);
-  bool ends_delivered(const std::string& id);
-  void end_waiting(const std::string& id);
+  void on_unconfirmed_outcome(const std::string& id, std::uint32_t attempt, const CallResult& result);
+  void on_unconfirmed_call_ended(std::uint64_t call, CallEnd end);
+  void on_unconfirmed_owner_exited(const std::string& owner);
+  bool can_only_complete(const UnconfirmedMessage& waiting) const;
+  void restore_completable();
+  void apply_reported(const OutCall& out);
+  bool complete_if_delivered(const std::string& id);
+  void close_unconfirmed(const std::string& id);
 
   boost::asio::any_io_executor executor_;
   Config config_;
-  std::shared_ptr<CopyNet> copies_;                                    // where copies are configured
-  std::unordered_map<std::uint64_t, vetchhinge::MessageId> promises_;  // by ticket; likewise
-  std::unordered_map<std::uint64_t, PendingCall> pending_calls_;
-  std::uint64_t last_undurable_ = kUndurable;  // as tickets, of calls that wait for the disk
-  std::unordered_map<std::uint64_t, Notice> untold_;
-  std::unordered_map<std::string, Waiting> waiting_;
-  std::unordered_map<std::string, valedrum::copies::OwnershipGained>
-      inherited_later_;  // own calls are still out
+  std::shared_ptr<CopyNet> copies_;  // null where copies are not configured
+  std::unordered_map<std::uint64_t, vetchhinge::MessageId> pending_acceptances_;  // by ticket of the copies
+  std::unordered_map<std::uint64_t, PendingCall> pending_calls_;  // by ticket of copies or disk
+  std::uint64_t last_disk_ticket_ = kDiskTicketBit;  // of calls that wait for the disk, in place of a ticket
+  std::unordered_map<std::uint64_t, Notice> pending_notices_;  // by ticket of the copies
+  std::unordered_map<std::string, UnconfirmedMessage> unconfirmed_;
+  // Messages of which this relay became the owner while its own calls for them were in flight.
+  std::unordered_map<std::string, valedrum::copies::OwnershipGained> deferred_ownership_;
   Journal journal_;
-  std::shared_ptr<Syncer> syncer_;  // with durability `power`
+  std::shared_ptr<Syncer> syncer_;  // only with durability `power`
   vetchhinge::Sender sender_;
-  CallOwners owners_;  // outlives the connections
-  EventLog events_log_{"call"};
+  CallOwners owners_;  // must outlive the connections
+  EventLog call_log_{"call"};
   HostClient host_client_;
   Endpoints endpoints_;
   Discovery discovery_;
   Server server_;
 
-  std::unordered_map<vetchhinge::MessageId, Open> open_;
+  std::unordered_map<vetchhinge::MessageId, OpenMessage> open_;
   std::unordered_map<std::string, vetchhinge::MessageId> ids_;
-  std::vector<vetchhinge::MessageId> arrivals_;  // not journaled, and not answered
+  std::vector<vetchhinge::MessageId> new_messages_;  // not journaled, and not answered
   WithdrawnRequests withdrawn_;
-  std::vector<UntoldEnd> untold_ends_;  // until the journal has them
+  std::vector<PendingCompletion> pending_completions_;  // until the journal has them
   std::vector<vetchhinge::Event> events_;
-  bool end_owed_ = false;  // by an outcome among them, to a message that may not be called again
-  std::size_t held_ = 0;   // messages that are not over
+  bool completion_due_ = false;  // an outcome in events_ leaves a message no further attempt
+  std::size_t open_count_ = 0;   // messages that are not completed
   std::uint32_t last_id_ = 0;
   std::uint64_t last_call_ = 0;
-  std::unordered_map<std::uint64_t, CallOut> calls_;  // by number: those of this process, and inherited ones
-  bool knows_calls_ = false;                          // what was handed over could be read
-  bool predecessor_gone_ = false;                     // the link to it has ended
-  bool earlier_calls_open_ = false;                   // calls that nobody handed over may be out
+  // By number: calls of this process and those that it inherited.
+  std::unordered_map<std::uint64_t, CallInFlight> calls_in_flight_;
+  bool knows_predecessor_calls_ = false;    // the state handed over could be read
+  bool predecessor_disconnected_ = false;   // the link to it has closed
+  bool unknown_predecessor_calls_ = false;  // calls that nobody handed over may be in flight
 
-  std::optional<Inheritance> inherited_;  // until it is taken up
-  std::optional<Successor> successor_;    // set once this process has given over
+  std::optional<Inheritance> inheritance_;  // until start()
+  std::optional<Successor> successor_;      // set once this process has handed over
 
   boost::asio::steady_timer step_timer_;
-  std::multimap<std::chrono::steady_clock::time_point, std::uint64_t> timers_;  // asked for by the module
+  std::multimap<std::chrono::steady_clock::time_point, std::uint64_t> timers_;  // the module's, with tokens
   std::chrono::steady_clock::time_point last_step_{};
   std::chrono::steady_clock::time_point step_at_ = std::chrono::steady_clock::time_point::max();
 
   boost::asio::steady_timer watch_timer_;
   boost::asio::steady_timer journal_timer_;
-  bool journal_retried_ = false;  // it runs
+  bool journal_retry_scheduled_ = false;
 
-  Counters counters_, logged_;
+  Counters counters_, logged_counters_;
   boost::asio::steady_timer log_timer_;
 
   boost::asio::steady_timer owner_timer_;
   boost::asio::steady_timer drain_timer_;
-  std::function<void()> drained_;
+  std::function<void()> on_drained_;
   std::chrono::steady_clock::time_point draining_since_{};
   bool draining_ = false;
-  bool closing_ = false;  // nothing new is taken or sent any more
+  bool closing_ = false;  // accepts and sends nothing new
 };
 
 }  // namespace myrtlegrade
--- a/relay/relay_admin.cpp
+++ b/relay/relay_admin.cpp
@@ -1,4 +1,4 @@
-// The operators' calls to the second address, and endpoints that are taken out by hand.
+// Operators' commands at the second address, and endpoints that an operator has disabled.
 #include <iostream>
 
 #include "relay.h"
@@ -7,14 +7,12 @@
 
 using vetchhinge::HostId;
 
-// -------------------------------------------------------------------------- the operators' calls
-
-std::string Relay::called(const std::string& line) {
-  const auto blank = line.find(' ');
-  const std::string call = line.substr(0, blank);
-  const std::string host = blank == std::string::npos ? "" : line.substr(blank + 1);
-  if (!host.empty() && call == "OFFLINE") return take_out(host);
-  if (!host.empty() && call == "ONLINE") return put_back(host);
+std::string Relay::execute_admin_command(const std::string& line) {
+  const auto space = line.find(' ');
+  const std::string command = line.substr(0, space);
+  const std::string host = space == std::string::npos ? "" : line.substr(space + 1);
+  if (!host.empty() && command == "OFFLINE") return disable_host(host);
+  if (!host.empty() && command == "ONLINE") return enable_host(host);
   if (line == "LEAVE") {
     server_.leave();
     return "ACK";
@@ -26,20 +24,20 @@
   return "NAK unknown call";
 }
 
-std::string Relay::take_out(const std::string& host) {
+std::string Relay::disable_host(const std::string& host) {
   if (journal_.disabled_hosts().contains(host)) return "ACK";
   if (!endpoints_.is_known(host)) return "NAK no such endpoint";
   journal_.disable_host(host);
-  if (!journal_.flush()) {  // what a restart would forget must not be promised
+  if (!journal_.flush()) {  // a restart would undo it
     journal_.enable_host(host);
     return "NAK the disk is full";
   }
   endpoints_.withhold(endpoints_.number(host));
-  tell_by_hand(host, true);
+  apply_operator_override(host, true);
   return "ACK";
 }
 
-std::string Relay::put_back(const std::string& host) {
+std::string Relay::enable_host(const std::string& host) {
   if (!journal_.disabled_hosts().contains(host)) {
     return endpoints_.is_known(host) ? "ACK" : "NAK no such endpoint";
   }
@@ -48,16 +46,16 @@
     journal_.disable_host(host);
     return "NAK the disk is full";
   }
-  tell_by_hand(host, false);
+  apply_operator_override(host, false);
   endpoints_.forget_name(host);
   return "ACK";
 }
 
-void Relay::tell_by_hand(const std::string& host, bool out) {
-  std::cerr << "myrtlegrade: " << host << (out ? " is out by hand" : " is back by hand") << std::endl;
+void Relay::apply_operator_override(const std::string& host, bool disabled) {
+  std::cerr << "myrtlegrade: " << host << (disabled ? " is out by hand" : " is back by hand") << std::endl;
   const HostId id = endpoints_.number(host);
-  if (out) host_client_.close_idle(id);
-  happened(vetchhinge::OperatorHostOverride{id, out});
+  if (disabled) host_client_.close_idle(id);
+  post_event(vetchhinge::OperatorHostOverride{id, disabled});
 }
 
 }  // namespace myrtlegrade
--- a/relay/relay_calls.cpp
+++ b/relay/relay_calls.cpp
@@ -1,4 +1,4 @@
-// The relay's book of calls that are out, and what its log says of single ones.
+// The relay's calls in flight, and its log lines about single calls.
 #include <algorithm>
 #include <iostream>
 #include <sstream>
@@ -14,101 +14,101 @@
 
 namespace {
 
-std::int64_t age_ms(const Moment& begun) {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(steady_time() - begun.steady).count();
+std::int64_t age_ms(const Moment& started_at) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(steady_time() - started_at.steady).count();
 }
 
 }  // namespace
 
-Relay::Out* Relay::find_out(Open& open, std::uint32_t attempt) {
-  const auto found = std::ranges::find(open.out, attempt, &Out::attempt);
-  return found == open.out.end() ? nullptr : &*found;
+Relay::AttemptInFlight* Relay::find_attempt(OpenMessage& open, std::uint32_t attempt) {
+  const auto found = std::ranges::find(open.in_flight, attempt, &AttemptInFlight::attempt);
+  return found == open.in_flight.end() ? nullptr : &*found;
 }
 
-// From now on its messages may be called anew: no connection carries them any more.
-void Relay::call_over(std::uint64_t number, CallEnd end) {
-  const auto call = calls_.extract(number);
+// No connection carries the call any more: from now on its messages may be sent again.
+void Relay::on_call_ended(std::uint64_t number, CallEnd end) {
+  const auto call = calls_in_flight_.extract(number);
   if (!call) return;
-  log_call_over(number, call.mapped(), end);
+  log_call_end(number, call.mapped(), end);
   for (const MessageId id : call.mapped().messages) {
-    Open& open = open_.at(id);
-    const std::size_t ended =
-        std::erase_if(open.out, [number](const Out& out) { return out.call == number; });
+    OpenMessage& open = open_.at(id);
+    const std::size_t ended = std::erase_if(
+        open.in_flight, [number](const AttemptInFlight& attempt) { return attempt.call == number; });
     for (std::size_t n = 0; n < ended; ++n) endpoints_.call_over(call.mapped().host);
-    if (open.over) close_message(id);
+    if (open.completed) close_message(id);
   }
   if (!successor_) return;
-  if (!call.mapped().elsewhere) owners_.tell(CallRecord::of_over(number, end));
-  successor_->call_over(number, end);
+  if (!call.mapped().at_predecessor) owners_.tell(CallRecord::of_over(number, end));
+  successor_->call_ended(number, end);
 }
 
-void Relay::never_called(std::uint64_t number, HostId host, const std::vector<CallItem>& items) {
-  for (const CallItem& item : items) reported(host, item, {Result::not_sent, false, {}, {}});
-  call_over(number, CallEnd::withheld);
+void Relay::withhold_call(std::uint64_t number, HostId host, const std::vector<CallItem>& items) {
+  for (const CallItem& item : items) on_outcome(host, item, {Result::not_sent, false, {}, {}});
+  on_call_ended(number, CallEnd::withheld);
 }
 
-// -------------------------------------------------------------------------------------------- log
+// --------------------------------------------------------------------------------------- log
 
-void Relay::log_hand_over(const std::vector<OutCall>& calls) {
-  std::cerr << "myrtlegrade: hands over messages=" << held_ << " calls=" << calls_.size()
-            << " messages_out=" << calls.size() << " earlier_calls_open=" << earlier_calls_open_
+void Relay::log_handover(const std::vector<OutCall>& calls) {
+  std::cerr << "myrtlegrade: hands over messages=" << open_count_ << " calls=" << calls_in_flight_.size()
+            << " messages_out=" << calls.size() << " earlier_calls_open=" << unknown_predecessor_calls_
             << " owner=" << owners_.name() << std::endl;
-  for (const auto& [number, call] : calls_) {
-    if (!events_log_.allow_line()) continue;
+  for (const auto& [number, call] : calls_in_flight_) {
+    if (!call_log_.allow_line()) continue;
     std::ostringstream text;
     text << "number=" << number << " endpoint=" << endpoints_.name(call.host)
-         << " age_ms=" << age_ms(call.begun) << (call.elsewhere ? " owner=" + call.owner : "")
+         << " age_ms=" << age_ms(call.started_at) << (call.at_predecessor ? " owner=" + call.owner : "")
          << " messages=";
     for (const MessageId id : call.messages) {
-      Open& open = open_.at(id);
-      const auto out = std::ranges::find(open.out, number, &Out::call);
-      text << open.payload->id << '#' << out->attempt << (out->reported ? ":reported," : ",");
+      OpenMessage& open = open_.at(id);
+      const auto attempt = std::ranges::find(open.in_flight, number, &AttemptInFlight::call);
+      text << open.payload->id << '#' << attempt->attempt << (attempt->reported ? ":reported," : ",");
     }
-    events_log_.write("handed_over", text.str());
+    call_log_.write("handed_over", text.str());
   }
 }
 
 void Relay::log_inherited(const std::vector<OutCall>& calls) {
   std::cerr << "myrtlegrade: inherits messages_out=" << calls.size() << std::endl;
   for (const OutCall& call : calls) {
-    if (!events_log_.allow_line()) continue;
+    if (!call_log_.allow_line()) continue;
     std::ostringstream text;
     text << "number=" << call.call << " endpoint=" << call.host << " owner=" << call.owner
          << " message=" << call.message << " attempt=" << call.attempt << " over=" << call.over;
-    events_log_.write("inherited", text.str());
+    call_log_.write("inherited", text.str());
   }
 }
 
-// With what is known of all earlier attempts: why this one is allowed.
-void Relay::log_repeat(const Open& open, const Out& out) {
-  if (!events_log_.allow_line()) return;
+// Logs the outcomes of all earlier attempts, which is why this one is allowed.
+void Relay::log_retry(const OpenMessage& open, const AttemptInFlight& attempt) {
+  if (!call_log_.allow_line()) return;
   std::ostringstream text;
-  text << "message=" << open.payload->id << " attempt=" << out.attempt
-       << " endpoint=" << endpoints_.name(out.host) << " number=" << out.call << " class=" << open.cls
+  text << "message=" << open.payload->id << " attempt=" << attempt.attempt
+       << " endpoint=" << endpoints_.name(attempt.host) << " number=" << attempt.call << " class=" << open.cls
        << " earlier=";
-  for (const EndedAttempt& ended : open.ended) {
+  for (const EndedAttempt& ended : open.ended_attempts) {
     text << ended.number << '@' << ended.endpoint << ':' << ended.outcome << ',';
   }
-  events_log_.write("repeat", text.str());
+  call_log_.write("repeat", text.str());
 }
 
-void Relay::log_read_end(const std::string& owner, const CallRecord& record) {
-  if (!events_log_.allow_line()) return;
+void Relay::log_recorded_call_end(const std::string& owner, const CallRecord& record) {
+  if (!call_log_.allow_line()) return;
   std::ostringstream text;
   text << "number=" << record.call << " owner=" << owner << " end=" << name_of(record.end);
-  events_log_.write("end_read", text.str());
+  call_log_.write("end_read", text.str());
 }
 
-// Answered ones are the rule, and say nothing.
-void Relay::log_call_over(std::uint64_t number, const CallOut& call, CallEnd end) {
-  if (end == CallEnd::answered && !call.elsewhere) return;
-  if (!events_log_.allow_line()) return;
+// Calls of this process that were answered are not logged.
+void Relay::log_call_end(std::uint64_t number, const CallInFlight& call, CallEnd end) {
+  if (end == CallEnd::answered && !call.at_predecessor) return;
+  if (!call_log_.allow_line()) return;
   std::ostringstream text;
   text << "number=" << number << " endpoint=" << endpoints_.name(call.host) << " end=" << name_of(end)
-       << " age_ms=" << age_ms(call.begun) << (call.elsewhere ? " inherited_from=" + call.owner : "")
-       << " messages=";
+       << " age_ms=" << age_ms(call.started_at)
+       << (call.at_predecessor ? " inherited_from=" + call.owner : "") << " messages=";
   for (const MessageId id : call.messages) text << open_.at(id).payload->id << ',';
-  events_log_.write("over", text.str());
+  call_log_.write("over", text.str());
 }
 
 }  // namespace myrtlegrade
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -24,34 +24,34 @@
 
 }  // namespace
 
-void Relay::make_copies() {
+void Relay::create_copies() {
   if (!config_.copies) return;
-  copies_ =
-      std::make_shared<CopyNet>(executor_, *config_.copies, *config_.fleet, config_.name,
-                                config_.state_folder, config_.copies_disk_bytes, config_.durability,
-                                config_.seed, [this](const copies::CopyEvent& event) { on_copies(event); });
+  copies_ = std::make_shared<CopyNet>(executor_, *config_.copies, *config_.fleet, config_.name,
+                                      config_.state_folder, config_.copies_disk_bytes, config_.durability,
+                                      config_.seed,
+                                      [this](const copies::CopyEvent& event) { on_copy_event(event); });
 }
 
 // One that is held here for another relay, or that this one has found and may not act on yet: its promise
 // stands.
-bool Relay::copied_elsewhere(const HandIn& message, const Server::Respond& respond) const {
+bool Relay::answer_if_copied(const HandIn& message, const Server::Respond& respond) const {
   const copies::Item* item = copies_ ? copies_->copies().find(message.id) : nullptr;
   if (!item) return false;
   respond({item->live() ? Answer::Kind::taken : Answer::Kind::failed});
   return true;
 }
 
-bool Relay::copy(const Open& open) {
+bool Relay::replicate(const OpenMessage& open) {
   copies::Item item;
   item.deadline = to_copies(open.deadline);
   item.payload = std::make_shared<const copies::Payload>(
       copies::Payload{open.payload->id, open.cls, open.payload->key, open.payload->body, open.destination,
-                      runs_once(open.cls)});
+                      is_at_most_once(open.cls)});
   return copies_->copies().add(CopyNet::now(), open.payload->id, std::move(item)) !=
          copies::Copies::Placement::refused;
 }
 
-void Relay::copy_attempt(const Open& open, const std::string& host, const std::string& zone) {
+void Relay::replicate_attempt(const OpenMessage& open, const std::string& host, const std::string& zone) {
   copies_->copies().add_attempt(CopyNet::now(), open.payload->id, {host, zone});
 }
 
@@ -67,35 +67,35 @@
       std::cerr << "myrtlegrade: a sync of the journal has failed: it is written anew before more is taken on"
                 << std::endl;
       journal_.mark_sync_failed();
-      retry_journal();
+      schedule_journal_retry();
     }
     then(synced);
   });
 }
 
-void Relay::promise(MessageId id) {
+void Relay::request_acceptance(MessageId id) {
   when_durable([this, id](bool synced) {
-    if (!synced || !copies_) return keep_promise(id, synced);
+    if (!synced || !copies_) return finish_acceptance(id, synced);
     const auto found = open_.find(id);
-    if (found == open_.end() || found->second.over) return;
-    promises_.emplace(copies_->copies().wait_for(CopyNet::now(), {found->second.payload->id},
-                                                 copies::Copies::Requirement::acceptance),
-                      id);
+    if (found == open_.end() || found->second.completed) return;
+    pending_acceptances_.emplace(copies_->copies().wait_for(CopyNet::now(), {found->second.payload->id},
+                                                            copies::Copies::Requirement::acceptance),
+                                 id);
     copies_->turn();
   });
 }
 
-void Relay::keep_promise(MessageId id, bool good) {
+void Relay::finish_acceptance(MessageId id, bool good) {
   const auto found = open_.find(id);
-  if (found == open_.end() || found->second.over || !found->second.respond) return;
-  if (!good) return take_back(id);
+  if (found == open_.end() || found->second.completed || !found->second.respond) return;
+  if (!good) return cancel_acceptance(id);
   ++counters_.accepted;
   std::exchange(found->second.respond, nullptr)({Answer::Kind::taken});
 }
 
 // Its client is told to come again: it was not promised anything yet.
-void Relay::take_back(MessageId id) {
-  Open& open = open_.at(id);
+void Relay::cancel_acceptance(MessageId id) {
+  OpenMessage& open = open_.at(id);
   const bool may_be_found = journal_.may_survive_restart(open.payload->id);
   journal_.complete(open.payload->id);
   if (copies_) copies_->copies().complete(CopyNet::now(), open.payload->id);
@@ -103,32 +103,32 @@
   const bool forgotten = flush_journal() || !may_be_found;
   const Answer::Kind kind = forgotten ? Answer::Kind::refused : Answer::Kind::failed;
   if (open.respond) std::exchange(open.respond, nullptr)({kind, whole_ms(config_.settings.max_wait_hint)});
-  happened(vetchhinge::Withdrawn{id});
+  post_event(vetchhinge::Withdrawn{id});
   close_message(id);
 }
 
-void Relay::call_when_known(Calls calls) {
+void Relay::call_when_recorded(Calls calls) {
   for (DecidedCall& decided : calls) {
     const std::uint64_t withheld = endpoints_.at(decided.host).withheld;
     PendingCall call{std::move(decided), withheld};
     if (!syncer_) {
-      await_copies(std::move(call));
+      await_replication(std::move(call));
     } else {
-      const std::uint64_t ticket = ++last_undurable_;
+      const std::uint64_t ticket = ++last_disk_ticket_;
       pending_calls_.emplace(ticket, std::move(call));
       when_durable([this, ticket](bool synced) {
         auto pending = pending_calls_.extract(ticket);
         if (!pending) return;
-        if (!synced) return release(std::move(pending.mapped()), false);
-        await_copies(std::move(pending.mapped()));
+        if (!synced) return release_call(std::move(pending.mapped()), false);
+        await_replication(std::move(pending.mapped()));
         if (copies_) copies_->turn();
       });
     }
   }
 }
 
-void Relay::await_copies(PendingCall call) {
-  if (!copies_) return release(std::move(call), true);
+void Relay::await_replication(PendingCall call) {
+  if (!copies_) return release_call(std::move(call), true);
   std::vector<std::string> ids;
   for (const CallItem& item : call.items) ids.push_back(item.payload->id);
   const auto ticket =
@@ -137,27 +137,27 @@
 }
 
 // What was called back meanwhile, or is for a message that is over, is as one that could not leave.
-void Relay::release(PendingCall call, bool good) {
+void Relay::release_call(PendingCall call, bool good) {
   const Endpoints::Host& host = endpoints_.at(call.host);
   const bool waited = copies_ || syncer_;
-  if (waited && (closing_ || host.withheld != call.withheld)) good = false;
+  if (waited && (closing_ || host.withheld != call.withhold_count)) good = false;
   std::vector<CallItem> go;
   for (CallItem& item : call.items) {
-    if (good && !(waited && open_.at(item.message).over)) {
+    if (good && !(waited && open_.at(item.message).completed)) {
       go.push_back(std::move(item));
     } else {
-      reported(call.host, item, {Result::not_sent, false, {}, {}});
+      on_outcome(call.host, item, {Result::not_sent, false, {}, {}});
     }
   }
-  if (go.empty()) return call_over(call.number, CallEnd::withheld);
+  if (go.empty()) return on_call_ended(call.number, CallEnd::withheld);
   host_client_.call(call.number, call.host, host.address, std::move(go));
 }
 
 // Handed back, its client comes with it again: work that may not be repeated must not be sent by others any
 // more by then. All other notices do no harm to what others may do.
-void Relay::tell(Notice notice) {
+void Relay::send_notice(Notice notice) {
   const auto found = ids_.find(notice.message);
-  const bool once = found != ids_.end() && runs_once(open_.at(found->second).cls);
+  const bool once = found != ids_.end() && is_at_most_once(open_.at(found->second).cls);
   const bool waits = notice.handed_back && once;
   if (copies_)
     copies_->copies().set_pending_notice(CopyNet::now(), notice.message,
@@ -165,21 +165,22 @@
   if (!waits) {
     discovery_.send(std::move(notice));
   } else {
-    when_durable([this, notice = std::move(notice)](bool synced) { tell_now(notice, synced); });
+    when_durable(
+        [this, notice = std::move(notice)](bool synced) { send_notice_when_replicated(notice, synced); });
   }
   if (copies_) copies_->turn();
 }
 
-void Relay::tell_now(Notice notice, bool durable) {
+void Relay::send_notice_when_replicated(Notice notice, bool durable) {
   notice.handed_back = notice.handed_back && durable;
   if (!copies_ || !durable) return discovery_.send(std::move(notice));
   const auto ticket =
       copies_->copies().wait_for(CopyNet::now(), {notice.message}, copies::Copies::Requirement::notice);
-  untold_.emplace(ticket, std::move(notice));
+  pending_notices_.emplace(ticket, std::move(notice));
   copies_->turn();
 }
 
-void Relay::notice_settled(const std::string& message) {
+void Relay::on_notice_settled(const std::string& message) {
   journal_.settle_notice(message);
   if (!copies_) return;
   copies_->copies().complete(CopyNet::now(), message);
@@ -188,25 +189,26 @@
 
 // -------------------------------------------------------------------------------------------- events
 
-void Relay::on_copies(const copies::CopyEvent& event) {
-  if (const auto* done = std::get_if<copies::TicketCompleted>(&event)) return on_done(*done);
-  if (const auto* inherited = std::get_if<copies::OwnershipGained>(&event)) return inherit(*inherited);
-  if (const auto* lost = std::get_if<copies::OwnershipLost>(&event)) return give_up(lost->id);
-  if (const auto* over = std::get_if<copies::Expired>(&event)) return expired(*over);
+void Relay::on_copy_event(const copies::CopyEvent& event) {
+  if (const auto* done = std::get_if<copies::TicketCompleted>(&event)) return on_ticket_completed(*done);
+  if (const auto* inherited = std::get_if<copies::OwnershipGained>(&event))
+    return on_ownership_gained(*inherited);
+  if (const auto* lost = std::get_if<copies::OwnershipLost>(&event)) return on_ownership_lost(lost->id);
+  if (const auto* over = std::get_if<copies::Expired>(&event)) return on_expired(*over);
   if (const auto* ended = std::get_if<copies::CompletedElsewhere>(&event)) {
-    if (waiting_.contains(ended->id)) {
+    if (unconfirmed_.contains(ended->id)) {
       journal_.complete(ended->id);
-      end_waiting(ended->id);
+      close_unconfirmed(ended->id);
     }
   }
 }
 
-void Relay::on_done(const copies::TicketCompleted& done) {
-  if (const auto promised = promises_.extract(done.ticket)) {
-    keep_promise(promised.mapped(), done.succeeded);
+void Relay::on_ticket_completed(const copies::TicketCompleted& done) {
+  if (const auto promised = pending_acceptances_.extract(done.ticket)) {
+    finish_acceptance(promised.mapped(), done.succeeded);
   } else if (auto pending = pending_calls_.extract(done.ticket)) {
-    release(std::move(pending.mapped()), done.succeeded);
-  } else if (const auto untold = untold_.extract(done.ticket)) {
+    release_call(std::move(pending.mapped()), done.succeeded);
+  } else if (const auto untold = pending_notices_.extract(done.ticket)) {
     Notice& notice = untold.mapped();
     if (!done.succeeded && !copies_->copies().is_owner(notice.message)) {  // another ends it
       journal_.settle_notice(notice.message);
@@ -219,25 +221,25 @@
 }
 
 // To be brought to its end as what a journal holds after a restart.
-void Relay::inherit(const copies::OwnershipGained& inherited) {
+void Relay::on_ownership_gained(const copies::OwnershipGained& inherited) {
   if (closing_) return;  // it takes no further step: its lease runs out, and another inherits
   const std::string& id = inherited.id;
   const copies::Item& item = inherited.item;
   if (const auto own = ids_.find(id); own != ids_.end()) {
-    if (open_.at(own->second).over)
-      inherited_later_.insert_or_assign(id, inherited);  // its own calls are still out
+    if (open_.at(own->second).completed)
+      deferred_ownership_.insert_or_assign(id, inherited);  // its own calls are still out
     return;
   }
-  if (ends_delivered(id)) return;
+  if (complete_if_delivered(id)) return;
   // It was given up here without the others' leave. What is remembered as taken or as handed back may have
   // been theirs to end.
   if (const Ended* const end = journal_.find_completed(id); end && end->told == Ended::Told::failed)
     return copies_->copies().complete(CopyNet::now(), id);
-  auto found = waiting_.extract(id);
+  auto found = unconfirmed_.extract(id);
   if (!item.payload || !config_.dialect.classes.find(item.payload->cls)) {
     const Notice notice{id, false, {}};
     journal_.complete_with_notice(notice);
-    return tell(notice);
+    return send_notice(notice);
   }
   StoredMessage stored{id,
                        item.payload->cls,
@@ -252,7 +254,7 @@
   }
   std::optional<OutCall> out;
   if (found) {
-    out = found.mapped().out;
+    out = found.mapped().predecessor_call;
   } else {
     journal_.accept(stored);
     for (std::uint32_t n = 0; n < stored.attempts.size(); ++n) {
@@ -261,36 +263,37 @@
     }
     journal_.flush();
   }
-  take_up(stored, out ? &*out : nullptr, inherited.orphaned);
-  if (out) apply_told(*out);
-  schedule();
+  restore_message(stored, out ? &*out : nullptr, inherited.orphaned);
+  if (out) apply_reported(*out);
+  schedule_step();
 }
 
 // Another may act on it. What is out ends here, and says nothing any more.
-void Relay::give_up(const std::string& id) {
-  inherited_later_.erase(id);
+void Relay::on_ownership_lost(const std::string& id) {
+  deferred_ownership_.erase(id);
   const auto found = ids_.find(id);
   if (found == ids_.end()) return;
-  Open& open = open_.at(found->second);
-  if (open.over) return;
+  OpenMessage& open = open_.at(found->second);
+  if (open.completed) return;
   const MessageId message = found->second;
-  std::erase_if(untold_ends_, [message](const UntoldEnd& end) { return end.message == message; });
+  std::erase_if(pending_completions_,
+                [message](const PendingCompletion& end) { return end.message == message; });
   if (open.respond) {  // not promised to its client yet: it may come again
     journal_.complete(id);
     std::exchange(open.respond, nullptr)({Answer::Kind::refused, whole_ms(config_.settings.max_wait_hint)});
   } else {
-    journal_.complete(id, ended(open, Ended::Told::taken));
+    journal_.complete(id, completion_record(open, Ended::Told::taken));
   }
-  happened(vetchhinge::Withdrawn{message});
+  post_event(vetchhinge::Withdrawn{message});
   close_message(message);
 }
 
-void Relay::expired(const copies::Expired& over) {
+void Relay::on_expired(const copies::Expired& over) {
   const auto own = ids_.find(over.id);
-  if (own != ids_.end() && !open_.at(own->second).over) return;  // the module ends it
-  if (ends_delivered(over.id)) return;
+  if (own != ids_.end() && !open_.at(own->second).completed) return;  // the module ends it
+  if (complete_if_delivered(over.id)) return;
   MessageTrace::event(over.id, "expired");
-  end_waiting(over.id);
+  close_unconfirmed(over.id);
   Notice notice{over.id, over.notice.handed_back, whole_ms(over.notice.retry_in)};
   if (const copies::Item* item = copies_->copies().find(over.id))
     notice.due_by = from_copies(item->deadline).steady + budgets::kNoticeOwed;
@@ -301,17 +304,17 @@
 
 // Before this process gives over: what waits for others' word is taken back, for the next one knows nothing
 // of it.
-void Relay::settle_pending() {
+void Relay::cancel_pending() {
   if (!copies_) return;
   for (auto& [ticket, call] : std::exchange(pending_calls_, {})) {
-    never_called(call.number, call.host, call.items);
+    withhold_call(call.number, call.host, call.items);
   }
-  promises_.clear();
+  pending_acceptances_.clear();
   std::vector<MessageId> unanswered;
   for (const auto& [id, open] : open_) {
-    if (!open.over && open.respond) unanswered.push_back(id);
+    if (!open.completed && open.respond) unanswered.push_back(id);
   }
-  for (const MessageId id : unanswered) take_back(id);
+  for (const MessageId id : unanswered) cancel_acceptance(id);
   if (!copies_) return;
   copies_->turn();
   copies_->stop();
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -24,7 +24,7 @@
 // ------------------------------------------------------------------------------------------ drain
 
 // What it knows goes out in one piece, between two steps: from here on every decision is the new process's.
-RecordWriter Relay::give_over(Successor successor, std::function<void()> done,
+RecordWriter Relay::hand_over(Successor successor, std::function<void()> done,
                               SteadyClock::time_point since) {
   timers_.clear();
   step();
@@ -33,11 +33,11 @@
   draining_ = closing_ = true;
   step_timer_.cancel();
   watch_timer_.cancel();
-  settle_pending();
+  cancel_pending();
   // Of bans, told waits and changes of the list this process hears nothing any more: what has not left may
   // not leave, and is the new process's to decide.
   host_client_.withhold_all();
-  tell_ends(journal_.flush());
+  report_completions(journal_.flush());
   journal_.retire();
   discovery_.stop();
   host_client_.close_all_idle();
@@ -45,32 +45,32 @@
   Inheritance all;
   all.list.version = endpoints_.version();
   all.learned = sender_.snapshot(now());
-  all.out = calls_out();
-  all.earlier_calls_open = earlier_calls_open_;
-  log_hand_over(all.out);
+  all.out = calls_in_flight();
+  all.earlier_calls_open = unknown_predecessor_calls_;
+  log_handover(all.out);
   all.leaving = server_.leaving();
   all.descriptors = descriptors();
   all.last_call = last_call_;
   successor_ = std::move(successor);
   owners_.give_over();
-  drained_ = std::move(done);
+  on_drained_ = std::move(done);
   draining_since_ = since;
-  drain_further();
+  continue_drain();
   return write(all, endpoints_.list(), config_.dialect.hosts);
 }
 
-std::vector<OutCall> Relay::calls_out() const {
+std::vector<OutCall> Relay::calls_in_flight() const {
   std::vector<OutCall> all;
   for (const auto& [id, open] : open_) {
-    for (const Out& out : open.out) {
-      const CallOut& call = calls_.at(out.call);
-      all.push_back({call.elsewhere ? call.owner : owners_.name(), open.payload->id, open.cls,
+    for (const AttemptInFlight& out : open.in_flight) {
+      const CallInFlight& call = calls_in_flight_.at(out.call);
+      all.push_back({call.at_predecessor ? call.owner : owners_.name(), open.payload->id, open.cls,
                      open.destination, out.attempt, endpoints_.name(out.host), endpoints_.at(out.host).zone,
-                     out.call, out.sent.wall, open.over});
+                     out.call, out.sent_at.wall, open.completed});
     }
   }
-  for (const auto& [id, waiting] : waiting_) {
-    if (waiting.out) all.push_back(*waiting.out);
+  for (const auto& [id, waiting] : unconfirmed_) {
+    if (waiting.predecessor_call) all.push_back(*waiting.predecessor_call);
   }
   return all;
 }
@@ -79,10 +79,10 @@
 bool Relay::cut_calls() {
   host_client_.cut_all();
   if (!successor_) flush_journal();  // what never left may be tried by a restart
-  return !successor_ || (successor_->told_all() && owners_.written());
+  return !successor_ || (successor_->all_reported() && owners_.written());
 }
 
-void Relay::successor_gone() {
+void Relay::on_successor_lost() {
   std::cerr << "myrtlegrade: the new process is gone, calls_out=" << host_client_.calls_out() << " end now"
             << std::endl;
   host_client_.cut_all();
@@ -91,35 +91,35 @@
 
 void Relay::drain(std::function<void()> done, SteadyClock::time_point since) {
   if (std::exchange(draining_, true)) return;
-  drained_ = std::move(done);
+  on_drained_ = std::move(done);
   draining_since_ = since;
   server_.drain();
-  drain_further();
+  continue_drain();
 }
 
-void Relay::drain_further() {
+void Relay::continue_drain() {
   const auto passed = SteadyClock::now() - draining_since_;
   if (!closing_ && passed >= kWorkOn) {
-    if (!arrivals_.empty()) step();  // they still wait for their answer
+    if (!new_messages_.empty()) step();  // they still wait for their answer
     closing_ = true;
   }
-  tell_ends(flush_journal());
-  const bool idle = !successor_ && passed >= kClientsCome && held_ == 0 && server_.connections() == 0 &&
+  report_completions(flush_journal());
+  const bool idle = !successor_ && passed >= kClientsCome && open_count_ == 0 && server_.connections() == 0 &&
                     host_client_.calls_out() == 0 && !discovery_.notices_pending();
-  const bool quiet = closing_ && calls_.empty() && server_.connections() == 0 &&
-                     (!successor_ || (successor_->told_all() && owners_.written()));
+  const bool quiet = closing_ && calls_in_flight_.empty() && server_.connections() == 0 &&
+                     (!successor_ || (successor_->all_reported() && owners_.written()));
   const bool leaves = passed >= (successor_ ? kGoneAfter : kLeaveAfter);
   // The connections are closed before anybody may take this process for gone.
   const bool told = leaves && (cut_calls() || passed >= kToldAfter);
   if (idle || quiet || told) {
     log_counters();
-    drained_();
+    on_drained_();
     return;
   }
   if (successor_ && host_client_.calls_out() == 0) owners_.release();  // nothing leaves any more
   drain_timer_.expires_after(kDrainLook);
   drain_timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) drain_further();
+    if (!error) continue_drain();
   });
 }
 
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -18,7 +18,7 @@
 using namespace std::chrono_literals;
 
 void Relay::start() {
-  auto inherited = std::exchange(inherited_, std::nullopt);
+  auto inherited = std::exchange(inheritance_, std::nullopt);
   WholeList& list = inherited ? inherited->list : *config_.known_hosts;
   endpoints_.take_whole(list.version, std::move(list.entries), vetchhinge::HostList::Kind::cached, events_);
   if (inherited) release_in_slices(executor_, std::move(config_.known_hosts->entries));
@@ -36,7 +36,7 @@
     }
     events_.emplace_back(inherited->learned);
   }
-  for (const std::string& host : journal_.disabled_hosts()) tell_by_hand(host, true);
+  for (const std::string& host : journal_.disabled_hosts()) apply_operator_override(host, true);
   for (Notice& notice : journal_.take_notices()) {
     // Whether others know that it goes back to its client is not known: its failure does no harm to what they
     // do.
@@ -44,27 +44,27 @@
     discovery_.send(notice);
   }
   std::unordered_map<std::string, const OutCall*> out;
-  knows_calls_ = inherited.has_value();
+  knows_predecessor_calls_ = inherited.has_value();
   if (inherited) {
     last_call_ = inherited->last_call;
-    leave_descriptors(inherited->descriptors);
+    reserve_descriptors(inherited->descriptors);
     if (inherited->leaving) server_.leave();
     for (const OutCall& call : inherited->out) {
-      if (call.over) take_up_out(call);
+      if (call.over) restore_call_in_flight(call);
       if (!call.over) out[call.message] = &call;
     }
     log_inherited(inherited->out);
   }
-  earlier_calls_open_ = !inherited || inherited->earlier_calls_open;
+  unknown_predecessor_calls_ = !inherited || inherited->earlier_calls_open;
   for (const StoredMessage& stored : journal_.take_messages()) {
     const auto at = out.find(stored.id);
     const OutCall* call = at == out.end() ? nullptr : at->second;
     if (copies_ && copies_->copies().find(stored.id)) {
-      waiting_.emplace(stored.id, Waiting{stored, call ? std::optional(*call) : std::nullopt});
+      unconfirmed_.emplace(stored.id, UnconfirmedMessage{stored, call ? std::optional(*call) : std::nullopt});
     } else {
       if (copies_) copies_->copies().add_local_only(stored.id);
-      take_up(stored, call);
-      if (call) apply_told(*call);
+      restore_message(stored, call);
+      if (call) apply_reported(*call);
     }
   }
   step();
@@ -73,11 +73,12 @@
   server_.start();
   discovery_.stand_ready_for_notices();
   if (!config_.settings.list_on_request) discovery_.watch(endpoints_.version());
-  keep_log();
+  schedule_counter_log();
 }
 
 // What an earlier process had taken on, with what it knew of the message's attempts.
-void Relay::take_up(const StoredMessage& stored, const OutCall* out, const std::vector<bool>& astray) {
+void Relay::restore_message(const StoredMessage& stored, const OutCall* out,
+                            const std::vector<bool>& astray) {
   const auto cls = config_.dialect.classes.find(stored.cls);
   if (!cls) {  // the class is gone from the settings: nobody can say what a repeat would do
     const Notice notice{stored.id, false, {}};
@@ -87,7 +88,7 @@
   }
   const Moment present = read_clocks();
   const MessageId id = new_id();
-  Open open;
+  OpenMessage open;
   open.payload = std::make_shared<const Payload>(Payload{stored.id, stored.key, stored.body});
   open.cls = stored.cls;
   open.destination = stored.destination;
@@ -95,8 +96,8 @@
   open.attempts = static_cast<std::uint32_t>(stored.attempts.size());
   if (out) open.attempts = std::max(open.attempts, out->attempt + 1);
   for (std::uint32_t n = 0; n < stored.attempts.size(); ++n) {
-    open.ended.push_back({n, stored.attempts[n].host,
-                          stored.attempts[n].may_have_run ? "of_an_earlier_process" : "never_ran"});
+    open.ended_attempts.push_back({n, stored.attempts[n].host,
+                                   stored.attempts[n].may_have_run ? "of_an_earlier_process" : "never_ran"});
   }
   open.may_have_run = std::ranges::any_of(stored.attempts, [&](const StoredAttempt& a) {
     return a.may_have_run &&
@@ -104,7 +105,7 @@
   });
   ids_.emplace(stored.id, id);
   open_.emplace(id, std::move(open));
-  ++held_;
+  ++open_count_;
   vetchhinge::Message message{
       id, *cls, vetchhinge::DestinationId(stored.destination), due_at(stored.deadline, present), {}, {}, {}};
   for (const StoredAttempt& attempt : stored.attempts) {
@@ -116,7 +117,7 @@
   message.recovered = true;
   const bool last_may_be_out = !stored.attempts.empty() && stored.attempts.back().may_have_run;
   open_.at(id).predecessor_call_open = message.predecessor_call_open =
-      earlier_calls_open_ && !out && last_may_be_out;
+      unknown_predecessor_calls_ && !out && last_may_be_out;
   if (out && out->attempt >= message.past_attempts.size()) message.past_attempts.resize(out->attempt + 1);
   MessageTrace::event(stored.id, "recovered", "class", stored.cls, "destination", stored.destination,
                       "attempts", stored.attempts.size(), "may_have_run",
@@ -125,41 +126,43 @@
   endpoints_.wake(stored.destination, events_);
   if (out) {
     vetchhinge::PastAttempt& at = message.past_attempts[out->attempt];
-    at = past(open_.at(id), *out, at.sent);
+    at = restore_attempt_in_flight(open_.at(id), *out, at.sent);
   }
   events_.emplace_back(std::move(message));
 }
 
 // One that is over, but has a call out that still takes a slot.
-void Relay::take_up_out(const OutCall& out) {
+void Relay::restore_call_in_flight(const OutCall& out) {
   const auto cls = config_.dialect.classes.find(out.cls);
   if (!cls || ids_.contains(out.message)) return;
   const MessageId id = new_id();
-  Open& open = open_[id];
+  OpenMessage& open = open_[id];
   open.payload = std::make_shared<const Payload>(Payload{out.message, {}, {}});
   open.cls = out.cls;
   open.destination = out.destination;
   open.attempts = out.attempt + 1;
-  open.over = true;
+  open.completed = true;
   open.content_known = false;
   ids_.emplace(out.message, id);
   endpoints_.wake(out.destination, events_);
   vetchhinge::Message message{id, *cls, vetchhinge::DestinationId(out.destination), now(), {}, {}, {}};
   message.past_attempts.resize(out.attempt);  // that never ran, for all that it matters now
-  message.past_attempts.push_back(past(open, out, sent_at({out.sent}, read_clocks())));
+  message.past_attempts.push_back(restore_attempt_in_flight(open, out, sent_at({out.sent}, read_clocks())));
   events_.emplace_back(std::move(message));
 }
 
-vetchhinge::PastAttempt Relay::past(Open& open, const OutCall& out, vetchhinge::Time sent) {
+vetchhinge::PastAttempt Relay::restore_attempt_in_flight(OpenMessage& open, const OutCall& out,
+                                                         vetchhinge::Time sent) {
   const HostId id = endpoints_.call_elsewhere(out.host, out.destination, out.zone);
-  Out& elsewhere = open.out.emplace_back(Out{out.attempt, id, out.call, Moment{out.sent}});
-  elsewhere.elsewhere = elsewhere.recorded = true;
-  CallOut& call = calls_[out.call];
+  AttemptInFlight& elsewhere =
+      open.in_flight.emplace_back(AttemptInFlight{out.attempt, id, out.call, Moment{out.sent}});
+  elsewhere.at_predecessor = elsewhere.recorded = true;
+  CallInFlight& call = calls_in_flight_[out.call];
   call.host = id;
-  call.begun = elsewhere.sent;
-  call.begun.steady = sent;
+  call.started_at = elsewhere.sent_at;
+  call.started_at.steady = sent;
   call.owner = out.owner;
-  call.elsewhere = true;
+  call.at_predecessor = true;
   call.messages.push_back(ids_.at(out.message));
   if (!out.owner.empty()) owners_.expect(out.owner);
   const vetchhinge::ZoneId zone{config_.dialect.zones.number(out.zone)};
@@ -168,88 +171,90 @@
 
 // ------------------------------------------------------------------------------ calls of earlier processes
 
-void Relay::reported_elsewhere(const std::string& id, std::uint32_t attempt, const CallResult& result) {
+void Relay::on_predecessor_outcome(const std::string& id, std::uint32_t attempt, const CallResult& result) {
   const auto found = ids_.find(id);
-  if (found == ids_.end()) return told_of_waiting(id, attempt, result);
-  Out* const out = find_out(open_.at(found->second), attempt);
-  if (!out || !out->elsewhere || out->reported) return;
+  if (found == ids_.end()) return on_unconfirmed_outcome(id, attempt, result);
+  AttemptInFlight* const out = find_attempt(open_.at(found->second), attempt);
+  if (!out || !out->at_predecessor || out->reported) return;
   const bool final = result.over || result.result == Result::delivered;
   if (!final && !successor_) {
-    out->told = result;
+    out->deferred_outcome = result;
     return;
   }
   CallItem item;
   item.message = found->second;
   item.attempt = attempt;
-  reported(HostId(out->host), item, result);
+  on_outcome(HostId(out->host), item, result);
 }
 
-void Relay::call_over_elsewhere(std::uint64_t number, CallEnd end) {
-  call_of_waiting_over(number, end);
-  const auto call = calls_.find(number);
-  if (call == calls_.end() || !call->second.elsewhere) return;
+void Relay::on_predecessor_call_ended(std::uint64_t number, CallEnd end) {
+  on_unconfirmed_call_ended(number, end);
+  const auto call = calls_in_flight_.find(number);
+  if (call == calls_in_flight_.end() || !call->second.at_predecessor) return;
   for (const MessageId id : std::vector(call->second.messages)) {
-    for (const Out& out : std::vector(open_.at(id).out)) {
+    for (const AttemptInFlight& out : std::vector(open_.at(id).in_flight)) {
       if (out.call != number || out.reported) continue;
       CallItem item;
       item.message = id;
       item.attempt = out.attempt;
-      reported(out.host, item, out.told.value_or(CallResult{Result::cancelled, false, {}, {}, {}, {}}));
+      on_outcome(out.host, item,
+                 out.deferred_outcome.value_or(CallResult{Result::cancelled, false, {}, {}, {}, {}}));
     }
   }
-  call_over(number, end);
-  free_descriptors();
+  on_call_ended(number, end);
+  release_reserved_descriptors();
 }
 
-bool Relay::is_out_at(const std::string& owner, std::uint64_t number) const {
-  const auto call = calls_.find(number);
-  if (call != calls_.end() && call->second.elsewhere && call->second.owner == owner) return true;
-  return std::ranges::any_of(waiting_, [&](const auto& entry) {
-    const auto& out = entry.second.out;
+bool Relay::is_in_flight_at(const std::string& owner, std::uint64_t number) const {
+  const auto call = calls_in_flight_.find(number);
+  if (call != calls_in_flight_.end() && call->second.at_predecessor && call->second.owner == owner)
+    return true;
+  return std::ranges::any_of(unconfirmed_, [&](const auto& entry) {
+    const auto& out = entry.second.predecessor_call;
     return out && !out->ended && out->owner == owner && out->call == number;
   });
 }
 
 // Numbers are each owner's own, and what a link has told before is not out any more.
-void Relay::read_of_call(const std::string& owner, const CallRecord& record) {
-  if (!is_out_at(owner, record.call)) return;
+void Relay::on_call_record(const std::string& owner, const CallRecord& record) {
+  if (!is_in_flight_at(owner, record.call)) return;
   if (record.kind == CallRecord::Kind::outcome)
-    return reported_elsewhere(record.message, record.attempt, record.result);
-  log_read_end(owner, record);
-  call_over_elsewhere(record.call, record.end);
+    return on_predecessor_outcome(record.message, record.attempt, record.result);
+  log_recorded_call_end(owner, record);
+  on_predecessor_call_ended(record.call, record.end);
 }
 
 // Its connections are closed. Nothing tells what became of the calls that are left.
-void Relay::owner_gone(const std::string& owner) {
-  owner_of_waiting_gone(owner);
+void Relay::on_owner_exited(const std::string& owner) {
+  on_unconfirmed_owner_exited(owner);
   std::vector<std::uint64_t> left;
-  for (const auto& [number, call] : calls_) {
-    if (call.elsewhere && call.owner == owner) left.push_back(number);
+  for (const auto& [number, call] : calls_in_flight_) {
+    if (call.at_predecessor && call.owner == owner) left.push_back(number);
   }
-  for (const std::uint64_t number : left) call_over_elsewhere(number, CallEnd::cut);
+  for (const std::uint64_t number : left) on_predecessor_call_ended(number, CallEnd::cut);
 }
 
-void Relay::no_owner_left() {
-  if (!std::exchange(earlier_calls_open_, false)) return;
+void Relay::on_all_owners_exited() {
+  if (!std::exchange(unknown_predecessor_calls_, false)) return;
   for (auto& [id, open] : open_) open.predecessor_call_open = false;
-  happened(vetchhinge::PredecessorCallsEnded{});
+  post_event(vetchhinge::PredecessorCallsEnded{});
 }
 
 // One without a name can only be waited for: so long it may take from the link's end to that of its
 // connections.
-void Relay::predecessor_gone() {
-  predecessor_gone_ = true;
-  free_descriptors();
+void Relay::on_predecessor_disconnected() {
+  predecessor_disconnected_ = true;
+  release_reserved_descriptors();
   owner_timer_.expires_after(CallOwners::kLongestHoldUp);
   owner_timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) owner_gone({});
+    if (!error) on_owner_exited({});
   });
 }
 
 // Where its link is lost, it holds what it told last for as long as its calls go on.
-void Relay::free_descriptors() {
-  const auto elsewhere = [](const auto& entry) { return entry.second.elsewhere; };
-  if (predecessor_gone_ && std::ranges::none_of(calls_, elsewhere)) leave_descriptors(0);
+void Relay::release_reserved_descriptors() {
+  const auto elsewhere = [](const auto& entry) { return entry.second.at_predecessor; };
+  if (predecessor_disconnected_ && std::ranges::none_of(calls_in_flight_, elsewhere)) reserve_descriptors(0);
 }
 
 }  // namespace myrtlegrade
--- a/relay/succession.cpp
+++ b/relay/succession.cpp
@@ -301,7 +301,7 @@
   standing_by_ = false;
   predecessor_ = nullptr;
   link->close();
-  if (relay_) relay_->predecessor_gone();
+  if (relay_) relay_->on_predecessor_disconnected();
   drop_questions();
 }
 
@@ -313,7 +313,7 @@
   }
   become(std::move(inherited));
   std::cerr << "myrtlegrade: took over" << std::endl;
-  if (relay_->knows_calls() && predecessor_)
+  if (relay_->knows_predecessor_calls() && predecessor_)
     predecessor_->send(RecordWriter(Frame::took_over).text(relay_->owner_name()));
 }
 
@@ -332,24 +332,24 @@
     const std::string id = in.text();
     const auto attempt = static_cast<std::uint32_t>(in.number());
     const CallResult result = read_result(in);
-    if (in.good) relay_->reported_elsewhere(id, attempt, result);
-    relay_->decide_owed_ends();
+    if (in.good) relay_->on_predecessor_outcome(id, attempt, result);
+    relay_->decide_due_completions();
   } else if (kind == Frame::call_over) {
     const std::uint64_t call = in.number();
     const auto end = static_cast<CallEnd>(in.number());
-    if (in.good) relay_->call_over_elsewhere(call, end);
-    relay_->decide_owed_ends();
+    if (in.good) relay_->on_predecessor_call_ended(call, end);
+    relay_->decide_due_completions();
   } else if (kind == Frame::hand_in) {
     const std::uint64_t token = in.number();
     HandIn message = read_hand_in(in);
     if (!in.good) return;
-    relay_->hand_in(std::move(message), [link = predecessor_, token](const Answer& answer) {
+    relay_->submit(std::move(message), [link = predecessor_, token](const Answer& answer) {
       if (link) link->send(write_answer(token, answer));
     });
   } else if (kind == Frame::unheard) {
-    relay_->unheard(in.text());
+    relay_->withdraw(in.text());
   } else if (kind == Frame::usage) {
-    relay_->leave_descriptors(in.number());
+    relay_->reserve_descriptors(in.number());
   } else if (kind == Frame::call) {
     const std::uint64_t token = in.number();
     called(in.text(), [link = predecessor_, token](const std::string& reply) {
@@ -434,25 +434,25 @@
   prepare_timer_.cancel();
   close_successors();
   Relay::Successor to;
-  to.hand_in = [this](HandIn message, Server::Respond respond) {
+  to.submit = [this](HandIn message, Server::Respond respond) {
     if (!successor_) return respond({Answer::Kind::refused, {}});
     successor_->send(write_hand_in(++last_token_, message));
     handed_in_.emplace(last_token_, std::move(respond));
   };
-  to.unheard = [this](const std::string& id) {
+  to.withdraw = [this](const std::string& id) {
     if (successor_) successor_->send(RecordWriter(Frame::unheard).text(id));
   };
   to.outcome = [this](const std::string& id, std::uint32_t attempt, const CallResult& result) {
     if (successor_) successor_->send(write_outcome(id, attempt, result));
   };
-  to.call_over = [this](std::uint64_t call, CallEnd end) {
+  to.call_ended = [this](std::uint64_t call, CallEnd end) {
     if (successor_) successor_->send(write_call_over(call, end));
   };
   // What the process before this one has out is told through this one.
-  to.told_all = [this] {
+  to.all_reported = [this] {
     return handed_in_.empty() && (!successor_ || (successor_->sent() && !predecessor_));
   };
-  const RecordWriter over = relay_->give_over(std::move(to), done_, told_to_end_);
+  const RecordWriter over = relay_->hand_over(std::move(to), done_, told_to_end_);
   if (fleet_) fleet_->stop();  // the new process is the same member: nothing is said of a leave
   lock_.release();
   successor_->send(over);
--- a/relay/succession_calls.cpp
+++ b/relay/succession_calls.cpp
@@ -16,7 +16,7 @@
     return reply(fleet_ ? "ACK " + fleet_->view() : "NAK this relay is in no fleet");
   if (relay_ && line == "COPIES")
     return reply(relay_->copies() ? "ACK " + relay_->copies()->state() : "NAK this relay makes no copies");
-  if (relay_) return reply(relay_->called(line));
+  if (relay_) return reply(relay_->execute_admin_command(line));
   ask_other(predecessor_, line, reply);
 }
 
--- a/relay/succession_heir.cpp
+++ b/relay/succession_heir.cpp
@@ -19,7 +19,7 @@
 bool Succession::heir_lives() {
   if (relay_->owner_name().empty()) return false;
   if (heir_.empty()) return heir_may_come();
-  const auto life = relay_->life_of(heir_);
+  const auto life = relay_->owner_state(heir_);
   if (life != CallOwners::Life::released) return life == CallOwners::Life::lives;
   const bool is_free = no_relay_serves();
   if (!is_free) relay_missing_since_.reset();
@@ -42,7 +42,7 @@
 }
 
 void Succession::watch_heir() {
-  if (!heir_lives()) return relay_->successor_gone();
+  if (!heir_lives()) return relay_->on_successor_lost();
   usage_timer_.expires_after(kLook);
   usage_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) watch_heir();
--- a/tests/accept_test.cpp
+++ b/tests/accept_test.cpp
@@ -60,11 +60,11 @@
 }
 
 TEST_F(AcceptTest, NorDoesItAtTheSecondAddress) {
-  start(with_second_address());
+  start(with_admin_address());
   const auto ask = [](tcp::socket& socket) {
     boost::asio::write(socket, boost::asio::buffer("HEALTH\n", 7));
   };
-  EXPECT_EQ(answered(4, second_, ask), 3U);
+  EXPECT_EQ(answered(4, admin_address_, ask), 3U);
 }
 
 }  // namespace
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -10,14 +10,14 @@
     add_host("h1", 2, "plain", kAccept);
     add_host("h2", 2, "plain", kAccept);
     add_host("alone", 3, "plain", kAccept);
-    start(with_second_address());
+    start(with_admin_address());
   }
   std::size_t deliveries_to(const std::string& host) {
     return watched_.read(
         [&] { return static_cast<std::size_t>(std::ranges::count(deliveries_, host, &Delivery::host)); });
   }
   unsigned health() { return ask(address_, Request{http::verb::get, "/_health", 11}).result_int(); }
-  std::string call(const std::string& line) { return test::call(second_, line); }
+  std::string call(const std::string& line) { return test::call(admin_address_, line); }
   // Sends one message after another, so that a host with no call in flight is available for each.
   void deliver_each(const std::string& prefix, int dest, int count) {
     for (int i = 0; i < count; ++i) pass_marker(prefix + std::to_string(i), dest);
@@ -41,7 +41,7 @@
   boost::asio::io_context context;
   std::vector<tcp::socket> stalled;
   for (int i = 0; i < 40; ++i) {
-    stalled.push_back(connect(context, second_));
+    stalled.push_back(connect(context, admin_address_));
     if (i % 2 == 0) boost::asio::write(stalled.back(), boost::asio::buffer("HEAL", 4));
   }
   EXPECT_EQ(call("HEALTH"), "ACK");
@@ -63,8 +63,8 @@
   EXPECT_EQ(call("ONLINE h1"), "ACK");
   EXPECT_EQ(call("ONLINE h1"), "ACK");
   EXPECT_EQ(call("OFFLINE h2"), "ACK");
-  ASSERT_EQ(hand_in("c", "note", 2), 202U);
-  ASSERT_TRUE(wait_seen("c"));
+  ASSERT_EQ(submit("c", "note", 2), 202U);
+  ASSERT_TRUE(wait_delivered("c"));
   EXPECT_EQ(deliveries_to("h1"), 1U);
 }
 
@@ -72,25 +72,25 @@
   start_with_hosts();
   EXPECT_EQ(call("OFFLINE h1"), "ACK");
   stop(SIGKILL);
-  start(with_second_address());
+  start(with_admin_address());
   deliver_each("a", 2, 6);
   stop(SIGTERM);
-  start(with_second_address());
+  start(with_admin_address());
   deliver_each("b", 2, 6);
   EXPECT_EQ(deliveries_to("h1"), 0U);
   EXPECT_EQ(call("ONLINE h1"), "ACK");
   stop(SIGKILL);
-  start(with_second_address());
+  start(with_admin_address());
   EXPECT_EQ(call("OFFLINE h2"), "ACK");
-  ASSERT_EQ(hand_in("c", "note", 2), 202U);
-  ASSERT_TRUE(wait_seen("c"));
+  ASSERT_EQ(submit("c", "note", 2), 202U);
+  ASSERT_TRUE(wait_delivered("c"));
   EXPECT_EQ(deliveries_to("h1"), 1U);
 }
 
 TEST_F(AdminTest, MessagesQueuedForTheOnlyHostAreHandedBackAtOnce) {
   start_with_hosts();
-  behave("alone", silent());
-  for (int i = 0; i < 14; ++i) EXPECT_EQ(hand_in("h" + std::to_string(i), "note", 3), 202U);
+  set_behaviour("alone", silent());
+  for (int i = 0; i < 14; ++i) EXPECT_EQ(submit("h" + std::to_string(i), "note", 3), 202U);
   EXPECT_EQ(call("OFFLINE alone"), "ACK");
   std::size_t back = 0;
   ASSERT_TRUE(watched_.wait([&] {
@@ -99,7 +99,7 @@
   }));
   EXPECT_GT(back, 0U);
   for (const auto& [id, outcome] : notices_) EXPECT_EQ(outcome, "handed_back") << id;
-  EXPECT_EQ(hand_in("late", "note", 3), 503U);
+  EXPECT_EQ(submit("late", "note", 3), 503U);
 }
 
 TEST_F(AdminTest, LeavingEmptiesTheRelayOfClientsAndJoiningUndoesIt) {
@@ -121,7 +121,7 @@
   const Response last = exchange(kept, "b1");
   EXPECT_EQ(last.result_int(), 202U);
   EXPECT_FALSE(last.keep_alive());
-  EXPECT_EQ(hand_in("b2", "note", 2), 202U);  // a client that has not noticed yet is served
+  EXPECT_EQ(submit("b2", "note", 2), 202U);  // a client that has not noticed yet is served
   char byte = 0;
   boost::system::error_code ended;
   EXPECT_EQ(boost::asio::read(idle, boost::asio::buffer(&byte, 1), ended), 0U);
@@ -130,7 +130,7 @@
   EXPECT_EQ(health(), 200U);
   tcp::socket fresh = connect(context, address_);
   EXPECT_TRUE(exchange(fresh, "c1").keep_alive());
-  for (const char* id : {"a1", "a2", "b1", "b2", "c1"}) EXPECT_TRUE(wait_seen(id)) << id;
+  for (const char* id : {"a1", "a2", "b1", "b2", "c1"}) EXPECT_TRUE(wait_delivered(id)) << id;
 }
 
 }  // namespace
--- a/tests/arrival_test.cpp
+++ b/tests/arrival_test.cpp
@@ -23,7 +23,7 @@
  protected:
   void SetUp() override {
     add_host("p1", 3, "plain", silent());
-    start(with_second_address());
+    start(with_admin_address());
   }
 
   tcp::socket connect_to_relay() { return connect(context_, address_); }
@@ -34,7 +34,7 @@
     return text.str();
   }
   std::string request_of(const std::string& id, std::chrono::milliseconds time) {
-    return bytes_of(with_time(message(id, "refund", 3), static_cast<int>(time.count())));
+    return bytes_of(with_timeout(message(id, "refund", 3), static_cast<int>(time.count())));
   }
   static Sent write(tcp::socket& client, const std::string& bytes) {
     boost::asio::write(client, boost::asio::buffer(bytes));
@@ -79,7 +79,7 @@
   }
 
   SteadyClock::time_point noticed_at(const std::string& id) {
-    return watched_.read([&] { return noticed_at_.at(id); });
+    return watched_.read([&] { return first_notice_at_.at(id); });
   }
 
   boost::asio::io_context context_;
@@ -171,7 +171,7 @@
   });
   EXPECT_GE(read_answer(client), 500U);
   pass_marker("marker", 3);
-  EXPECT_EQ(count_seen("m"), 0U);
+  EXPECT_EQ(count_deliveries("m"), 0U);
 }
 
 // A socket of which the kernel tells nothing: its bytes came when they were read.
--- a/tests/call_ends_test.cpp
+++ b/tests/call_ends_test.cpp
@@ -28,10 +28,10 @@
     add_silent_host("b1", 2, "bulk");
     next_environment_ = {{"LD_PRELOAD", SHIM}, {"SOAK_BROKEN_LINK", broken_in_second_}};
     start_old(6000, 6000);
-    ASSERT_EQ(hand_in("m", cls, 3), 202U);
-    ASSERT_EQ(hand_in("stays", "note", 2), 202U);
-    ASSERT_TRUE(wait_seen("m"));
-    ASSERT_TRUE(wait_seen("stays"));
+    ASSERT_EQ(submit("m", cls, 3), 202U);
+    ASSERT_EQ(submit("stays", "note", 2), 202U);
+    ASSERT_TRUE(wait_delivered("m"));
+    ASSERT_TRUE(wait_delivered("stays"));
     upgrade(process_, new_);
     next_environment_["SOAK_BROKEN_LINK"] = broken_in_third_;
     upgrade(new_, third_);
@@ -44,7 +44,7 @@
       return kAccept(socket, request);
     }
     held_ = socket.native_handle();
-    watched_.wait([this] { return over_ || answer_.has_value(); });
+    watched_.wait([this] { return test_over_ || answer_.has_value(); });
     if (watched_.read([this] { return answer_ == Answer::delivered; })) kAccept(socket, request);
     if (watched_.read([this] { return answer_ == Answer::told_to_wait; }))
       answer(socket, 429, "", {{"X-RateLimit-Wait-Ms", "60000"}});
@@ -70,11 +70,11 @@
   void expect_given_up_in_time(SteadyClock::duration within = kToldWithin) {
     ASSERT_TRUE(wait_notice("m", "given_up"));
     EXPECT_LT(SteadyClock::now() - ended_, within);
-    EXPECT_EQ(count_seen("m"), 1U) << "it may have run, and may not be repeated";
+    EXPECT_EQ(count_deliveries("m"), 1U) << "it may have run, and may not be repeated";
   }
 
   void expect_repeated_in_time() {
-    ASSERT_TRUE(wait_seen("m", 2));
+    ASSERT_TRUE(wait_delivered("m", 2));
     EXPECT_LT(SteadyClock::now() - ended_, kToldWithin + kRest);
     EXPECT_EQ(second_copies(), std::vector<std::string>{});
   }
@@ -83,7 +83,7 @@
     EXPECT_EQ(process_->wait(), 0);
     std::this_thread::sleep_for(2 * kLongestHoldUp);
     EXPECT_FALSE(watched_.read([this] { return notices_.contains("m"); }));
-    EXPECT_EQ(count_seen("m"), 1U);
+    EXPECT_EQ(count_deliveries("m"), 1U);
   }
 
   const fs::path broken_in_second_ = folder_ / "broken-in-second";
@@ -107,7 +107,7 @@
   hand_over_twice("note");
   break_link(broken_in_third_, new_);
   std::this_thread::sleep_for(2 * kLongestHoldUp);
-  EXPECT_EQ(count_seen("m"), 1U) << "its call is still out";
+  EXPECT_EQ(count_deliveries("m"), 1U) << "its call is still out";
   end_call(Answer::none);
   expect_repeated_in_time();
 }
@@ -130,7 +130,7 @@
   expect_repeated_in_time();
   break_link(broken_in_third_, new_);
   std::this_thread::sleep_for(2 * kLongestHoldUp);
-  EXPECT_EQ(count_seen("m"), 2U);
+  EXPECT_EQ(count_deliveries("m"), 2U);
 }
 
 // Guards against the same where the link between the first two breaks: the second one hears nothing.
@@ -155,11 +155,11 @@
   break_link(broken_in_third_, new_);
   end_call(Answer::told_to_wait);
   std::this_thread::sleep_for(kToldWithin);
-  ASSERT_EQ(hand_in("other", "note", 3), 202U);
+  ASSERT_EQ(submit("other", "note", 3), 202U);
   EXPECT_EQ(process_->wait(), 0);
   std::this_thread::sleep_for(2 * kLongestHoldUp);
-  EXPECT_EQ(count_seen("m"), 1U);
-  EXPECT_EQ(count_seen("other"), 0U);
+  EXPECT_EQ(count_deliveries("m"), 1U);
+  EXPECT_EQ(count_deliveries("other"), 0U);
 }
 
 // Guards against calls that are cut with a link, though the process behind it lives and knows them.
@@ -194,8 +194,8 @@
   add_host("p1", 3, "plain",
            [this](tcp::socket& socket, Request& request) { return hold_one(socket, request); });
   start_old(6000, 6000);
-  ASSERT_EQ(hand_in("m", "refund", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "refund", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   break_link(broken_in_second_, process_);
   std::this_thread::sleep_until(begun + kFailsFrom + kWithin);
@@ -227,7 +227,7 @@
   third_->signal(SIGCONT);
   std::this_thread::sleep_for(3 * kLongestHoldUp);
   EXPECT_FALSE(watched_.read([this] { return notices_.contains("m"); }));
-  EXPECT_EQ(count_seen("m"), 1U);
+  EXPECT_EQ(count_deliveries("m"), 1U);
 }
 
 // Guards against a configuration that the old process alone was told to read, where the new one serves
@@ -240,16 +240,16 @@
   ASSERT_TRUE(wait_healthy(new_));
   std::ofstream(broken_in_second_) << "now";
   call(new_->second_address(), "BANS");  // the reply breaks the link
-  json::object moved = with_aims(moved_config(), note_ms_, refund_ms_);
+  json::object moved = with_aims(second_discovery_config(), note_ms_, refund_ms_);
   moved["listen"] = address_;
   moved["admin_addr"] = "127.0.0.1:0";
   std::ofstream(folder_ / "next.json") << json::serialize(moved);
   reload(json::serialize(moved));
-  ASSERT_TRUE(wait_asked("moved", "/catalog/members"));
-  watched_.change([this] { asked_.clear(); });
+  ASSERT_TRUE(wait_requested("moved", "/catalog/members"));
+  watched_.change([this] { platform_requests_.clear(); });
   process_->signal(SIGTERM);
   EXPECT_EQ(process_->wait(), 0);
-  EXPECT_TRUE(wait_asked("moved", "/catalog/members"));
+  EXPECT_TRUE(wait_requested("moved", "/catalog/members"));
 }
 
 // Guards against a record that is lost, or read before it is whole, where a write fails or stops in the
--- a/tests/copies_relays_test.cpp
+++ b/tests/copies_relays_test.cpp
@@ -34,7 +34,7 @@
   bool wait_copied() {  // until the first has found its holders
     const auto limit = SteadyClock::now() + 20s;
     for (int i = 0; SteadyClock::now() < limit; ++i) {
-      if (hand_in("warm-" + std::to_string(i), "note", 2) == 202U) return true;
+      if (submit("warm-" + std::to_string(i), "note", 2) == 202U) return true;
       std::this_thread::sleep_for(50ms);
     }
     return false;
@@ -60,7 +60,7 @@
     const auto lasts = kFirst + i * kApart;
     ends.push_back(SteadyClock::now() + lasts);
     const Request request =
-        with_time(message("m" + std::to_string(i), "note", 3), static_cast<int>(lasts / 1ms));
+        with_timeout(message("m" + std::to_string(i), "note", 3), static_cast<int>(lasts / 1ms));
     ASSERT_EQ(ask(address_, request).result_int(), 202U);
   }
   for (auto relay = relays_.begin(); relay != std::prev(relays_.end()); ++relay) relay->signal(SIGKILL);
--- a/tests/copies_upgrade_test.cpp
+++ b/tests/copies_upgrade_test.cpp
@@ -23,7 +23,7 @@
 
   void begin(std::optional<Process>& process, int n, const std::string& listen) {
     const std::string name = "n" + std::to_string(n);
-    json::object c = with_aims(with_second_address(), 6000, 6000);
+    json::object c = with_aims(with_admin_address(), 6000, 6000);
     c["name"] = name;
     c["listen"] = listen;
     c["fleet"] = json::object{{"name", "f"},     {"bind", at(n, "7300")},
@@ -40,7 +40,7 @@
   bool wait_copied() {
     const auto limit = SteadyClock::now() + 20s;
     for (int i = 0; SteadyClock::now() < limit; ++i) {
-      if (hand_in("warm-" + std::to_string(i), "note", 2) == 202U) return true;
+      if (submit("warm-" + std::to_string(i), "note", 2) == 202U) return true;
       std::this_thread::sleep_for(50ms);
     }
     return false;
@@ -52,7 +52,7 @@
       bool first = false;
       watched_.change([&] { first = !std::exchange(came_, true); });
       if (!first) return kAccept(socket, request);
-      watched_.wait([this] { return over_ || delivers_.has_value(); });
+      watched_.wait([this] { return test_over_ || delivers_.has_value(); });
       if (watched_.read([this] { return delivers_ == true; })) kAccept(socket, request);
       boost::system::error_code ignored;
       socket.shutdown(tcp::socket::shutdown_both, ignored);
@@ -76,9 +76,9 @@
   // Both holders are stopped before the hand-over, so the new process has nobody to ask.
   void upgrade_with_holders_stopped(const std::string& cls, std::optional<Process>& from,
                                     std::chrono::milliseconds lasts = 20s) {
-    const Request request = with_time(message("m", cls, 3), static_cast<int>(lasts.count()));
+    const Request request = with_timeout(message("m", cls, 3), static_cast<int>(lasts.count()));
     ASSERT_EQ(ask(address_, request).result_int(), 202U);
-    ASSERT_TRUE(wait_seen("m"));
+    ASSERT_TRUE(wait_delivered("m"));
     begin(last_, 0, address_);
     ASSERT_TRUE(wait_healthy(last_));
     signal_holders(SIGSTOP);
@@ -90,8 +90,8 @@
   void upgrade_with_unknown_calls(const std::string& cls) {
     add_silent_host("silent", 4, "plain");
     start_all();
-    ASSERT_EQ(hand_in("stays", "note", 4), 202U);
-    ASSERT_TRUE(wait_seen("stays"));
+    ASSERT_EQ(submit("stays", "note", 4), 202U);
+    ASSERT_TRUE(wait_delivered("stays"));
     begin(new_, 0, address_);
     ASSERT_TRUE(wait_healthy(new_));
     take_over(process_, new_);
@@ -123,10 +123,10 @@
     std::this_thread::sleep_for(kWaits);
     signal_holders(SIGCONT);
     std::this_thread::sleep_for(2s);  // longer than others may act instead
-    EXPECT_EQ(count_seen("m"), 1U);
+    EXPECT_EQ(count_deliveries("m"), 1U);
     EXPECT_EQ(watched_.read([this] { return notices_.contains("m") ? notices_.at("m") : ""; }), "");
-    EXPECT_EQ(hand_in("m", sent_as_, 3), 202U) << "known as taken";
-    EXPECT_EQ(count_seen("m"), 1U);
+    EXPECT_EQ(submit("m", sent_as_, 3), 202U) << "known as taken";
+    EXPECT_EQ(count_deliveries("m"), 1U);
   }
 
   std::optional<bool> delivers_;
@@ -174,7 +174,7 @@
   end_call(true);
   std::this_thread::sleep_for(kLasts + kOwed + kLongestHoldUp);
   EXPECT_FALSE(watched_.read([this] { return notices_.contains("m"); }));
-  EXPECT_EQ(count_seen("m"), 1U);
+  EXPECT_EQ(count_deliveries("m"), 1U);
 }
 
 // Guards against an end that waits for the others' leave although nobody may call the message again: its
@@ -189,7 +189,7 @@
   signal_holders(SIGCONT);
   EXPECT_TRUE(wait_log(last_, "acts on the messages"));
   ASSERT_TRUE(wait_copied());
-  EXPECT_EQ(count_seen("m"), 1U);
+  EXPECT_EQ(count_deliveries("m"), 1U);
 }
 
 // Guards against an end that is lost: the notice or the repeat would wait for all earlier processes.
@@ -198,13 +198,13 @@
   const auto known = fail_call_while_waiting();
   ASSERT_TRUE(wait_notice("m", "given_up"));
   EXPECT_LT(SteadyClock::now() - known, kEndsWithin);
-  EXPECT_EQ(count_seen("m"), 1U);
+  EXPECT_EQ(count_deliveries("m"), 1U);
 }
 
 TEST_F(CopiesUpgradeTest, AFailureThatIsToldWhileTheMessageWaitsIsRepeatedInTime) {
   upgrade_with_unknown_calls("note");
   const auto known = fail_call_while_waiting();
-  ASSERT_TRUE(wait_seen("m", 2));
+  ASSERT_TRUE(wait_delivered("m", 2));
   EXPECT_LT(SteadyClock::now() - known, kEndsWithin + kRest);
 }
 
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -101,7 +101,7 @@
     settle();
     const Crowd crowd(address_, 4 * place_.descriptors);
     std::list<tcp::socket> callers;  // of the second address, who say nothing
-    for (int i = 0; i < 12; ++i) callers.push_back(connect(context_, second_));
+    for (int i = 0; i < 12; ++i) callers.push_back(connect(context_, admin_address_));
     go_away();
     const auto left = SteadyClock::now();
     const double busy_before = busy();
@@ -115,7 +115,7 @@
     EXPECT_LT(told_after, kTold);
     watched_.change([&] { released_ = true; });
     EXPECT_TRUE(wait_notice("once", "given_up")) << "its client was told that it is taken on";
-    for (int i = 0; i < kHeld; ++i) EXPECT_TRUE(wait_seen("held-" + std::to_string(i))) << i;
+    for (int i = 0; i < kHeld; ++i) EXPECT_TRUE(wait_delivered("held-" + std::to_string(i))) << i;
     EXPECT_LT(busy_for, kMostBusy) << "seconds of the processor";
     EXPECT_LE(most_open_, place_.descriptors);
     EXPECT_LT(crowd.longest(), kOwed + kStalled) << "seconds with neither an error nor a close";
@@ -139,7 +139,7 @@
     add_host("h", 2, "plain", kAccept);
     for (int i = 0; i < 4; ++i) add_host("silent-" + std::to_string(i), 10 + i, "plain", silent());
     add_host("breaks", 3, "plain", [](tcp::socket&, Request&) { return false; });
-    json::object changed = with_second_address();
+    json::object changed = with_admin_address();
     changed["limits"].as_object()["sockets"] = place_.sockets;
     changed["settings"].as_object()["allowed"].as_object()["maxOpen"] = 200;
     const fs::path file = folder_ / "config.json", program = folder_ / "program";
@@ -149,12 +149,12 @@
     process_.emplace(program, std::map<std::string, std::string>{{"PROXY_CONFIG", file},
                                                                  {"PROXY_STATE", folder_ / "state"}});
     address_ = process_->address();
-    second_ = process_->second_address();
+    admin_address_ = process_->second_address();
     push(list());
     for (int i = 0; i < kHeld; ++i) {
       // Time enough for hosts that come back cold, and of which nothing is known.
       const Request held = message("held-" + std::to_string(i), "note", 10 + i % 4, std::string(4096, 'b'));
-      ASSERT_EQ(ask(address_, with_time(held, 60'000)).result_int(), 202U);
+      ASSERT_EQ(ask(address_, with_timeout(held, 60'000)).result_int(), 202U);
     }
   }
 
@@ -190,7 +190,7 @@
   unsigned try_hand_in(const std::string& id, const std::string& cls, int dest) {
     const auto start = SteadyClock::now();
     try {
-      const unsigned status = hand_in(id, cls, dest, std::string(4096, 'b'));
+      const unsigned status = submit(id, cls, dest, std::string(4096, 'b'));
       ++served_;
       longest_served_ = std::max(longest_served_, Seconds(SteadyClock::now() - start).count());
       return status;
@@ -204,7 +204,7 @@
     try_hand_in("usual-" + std::to_string(number_++), "note", 2);
     if (!once_) once_ = try_hand_in("once", "refund", 3) == 202;
     const auto start = SteadyClock::now();
-    if (call(second_, "HEALTH") != "ACK" || SteadyClock::now() - start > 1s) ++late_calls_;
+    if (call(admin_address_, "HEALTH") != "ACK" || SteadyClock::now() - start > 1s) ++late_calls_;
     const auto open = std::distance(
         fs::directory_iterator("/proc/" + std::to_string(process_->pid()) + "/fd"), fs::directory_iterator());
     most_open_ = std::max(most_open_, static_cast<std::size_t>(open));
@@ -212,7 +212,7 @@
   }
 
   // Of a host that only the list of the return names; no client's turn is waited for.
-  bool told() { return call(second_, "ONLINE new") == "ACK"; }
+  bool told() { return call(admin_address_, "ONLINE new") == "ACK"; }
 
   double busy() const {
     std::ifstream in("/proc/" + std::to_string(process_->pid()) + "/stat");
--- a/tests/handover_fixture.h
+++ b/tests/handover_fixture.h
@@ -24,7 +24,7 @@
     watched_.change([&] {
       for (const std::string& id : ids) arrived(id, file);
     });
-    while (!watched_.read([this] { return over_ || released_; }) && is_open(file)) {
+    while (!watched_.read([this] { return test_over_ || released_; }) && is_open(file)) {
       std::this_thread::sleep_for(2ms);
     }
     watched_.change([&] {
@@ -65,7 +65,7 @@
   void start_old(double note_ms, double refund_ms) {
     note_ms_ = note_ms;
     refund_ms_ = refund_ms;
-    start(with_aims(with_second_address(), note_ms, refund_ms));
+    start(with_aims(with_admin_address(), note_ms, refund_ms));
   }
 
   // The shim delays each close of a connection of that process.
@@ -76,7 +76,7 @@
 
   void start_next(std::optional<Process>& process) {
     const fs::path file = folder_ / "next.json";
-    json::object changed = with_aims(with_second_address(), note_ms_, refund_ms_);
+    json::object changed = with_aims(with_admin_address(), note_ms_, refund_ms_);
     changed["listen"] = address_;
     std::ofstream(file) << json::serialize(changed);
     std::map<std::string, std::string> environment = next_environment_;
@@ -108,7 +108,7 @@
 
   // After all earlier calls have ended the message is still owed, and comes once more.
   void expect_repeated_later(const std::string& id) {
-    EXPECT_TRUE(wait_seen(id, 2)) << "the message is still owed";
+    EXPECT_TRUE(wait_delivered(id, 2)) << "the message is still owed";
     EXPECT_EQ(second_copies(), std::vector<std::string>{});
   }
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -46,15 +46,15 @@
   start_old(300, 1200);
   start_next(new_);
   ASSERT_TRUE(wait_healthy(new_));
-  ASSERT_EQ(hand_in("short", "note", 2), 202U);
-  ASSERT_EQ(hand_in("long", "refund", 2), 202U);
-  ASSERT_TRUE(wait_seen("short"));
-  ASSERT_TRUE(wait_seen("long"));
+  ASSERT_EQ(submit("short", "note", 2), 202U);
+  ASSERT_EQ(submit("long", "refund", 2), 202U);
+  ASSERT_TRUE(wait_delivered("short"));
+  ASSERT_TRUE(wait_delivered("long"));
   std::this_thread::sleep_for(700ms);  // past the first time-out, far from the second
   process_->signal(SIGTERM);
   EXPECT_EQ(process_->wait(), 0);
   expect_repeated_later("short");
-  EXPECT_EQ(count_seen("long"), 1U) << "it may have run, and may not be repeated";
+  EXPECT_EQ(count_deliveries("long"), 1U) << "it may have run, and may not be repeated";
 }
 
 // The same with the call handed over twice: the second process has to know what the first one told it.
@@ -64,9 +64,9 @@
   start_old(600, 1400);
   start_next(new_);
   ASSERT_TRUE(wait_healthy(new_));
-  ASSERT_EQ(hand_in("short", "note", 2), 202U);
-  ASSERT_EQ(hand_in("long", "refund", 2), 202U);
-  ASSERT_TRUE(wait_seen("short"));
+  ASSERT_EQ(submit("short", "note", 2), 202U);
+  ASSERT_EQ(submit("long", "refund", 2), 202U);
+  ASSERT_TRUE(wait_delivered("short"));
   process_->signal(SIGTERM);
   ASSERT_TRUE(wait_log(new_, "took over"));
   std::this_thread::sleep_for(800ms);  // the first time-out is told by now
@@ -80,8 +80,8 @@
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
   start_old(2600, 2600);
-  ASSERT_EQ(hand_in("m", "note", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "note", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   upgrade(new_, third_);
   EXPECT_EQ(new_->wait(), 0);
@@ -94,8 +94,8 @@
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
   start_old(2600, 2600);
-  ASSERT_EQ(hand_in("m", "note", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "note", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   EXPECT_EQ(end(new_, SIGKILL), 128 + SIGKILL);
   start_next(third_);
@@ -108,15 +108,15 @@
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
   start_old(2600, 2600);
-  ASSERT_EQ(hand_in("m", "note", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "note", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   process_->signal(SIGSTOP);
   EXPECT_EQ(end(new_, SIGKILL), 128 + SIGKILL);
   start_next(third_);
-  ASSERT_EQ(hand_in("other", "note", 3), 202U) << "it serves meanwhile";
+  ASSERT_EQ(submit("other", "note", 3), 202U) << "it serves meanwhile";
   std::this_thread::sleep_for(1s);
-  EXPECT_EQ(count_seen("m"), 1U);
+  EXPECT_EQ(count_deliveries("m"), 1U);
   process_->signal(SIGKILL);
   EXPECT_EQ(process_->wait(), 128 + SIGKILL);
   expect_repeated_later("m");
@@ -128,8 +128,8 @@
   add_silent_host("p2", 3, "plain");
   hold_up_closes_of_old();
   start_old(6000, 6000);
-  ASSERT_EQ(hand_in("m", "note", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "note", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   EXPECT_EQ(process_->wait(), 0);
   expect_repeated_later("m");
@@ -141,8 +141,8 @@
   add_silent_host("p2", 3, "plain");
   hold_up_closes_of_old();
   start_old(700, 700);
-  ASSERT_EQ(hand_in("m", "note", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "note", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   EXPECT_EQ(process_->wait(), 0);
   expect_repeated_later("m");
@@ -157,7 +157,7 @@
   constexpr auto kAnswerWithin = 150ms;  // what is given up on: 100 ms, on sockets 50 ms longer (PROTOCOL)
   SteadyClock::time_point closed;
   add_host("p1", 3, "plain", [&](tcp::socket& socket, Request&) {
-    while (!watched_.read([this] { return over_; }) && is_open(socket.native_handle())) {
+    while (!watched_.read([this] { return test_over_; }) && is_open(socket.native_handle())) {
       std::this_thread::sleep_for(1ms);
     }
     watched_.change([&] { closed = SteadyClock::now(); });
@@ -166,8 +166,8 @@
   const fs::path broken = folder_ / "broken";
   next_environment_ = {{"LD_PRELOAD", SHIM}, {"SOAK_BROKEN_LINK", broken}};
   start_old(6000, 6000);
-  ASSERT_EQ(hand_in("m", "refund", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "refund", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   std::ofstream(broken) << "now";
   ASSERT_TRUE(wait_notice("m", "given_up"));
@@ -205,8 +205,8 @@
   const fs::path broken = folder_ / "broken";
   next_environment_ = {{"LD_PRELOAD", SHIM}, {"SOAK_BROKEN_LINK", broken}};
   start_old(6000, 6000);
-  ASSERT_EQ(ask(address_, with_time(message("m", "refund", 3), 2000)).result_int(), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(ask(address_, with_timeout(message("m", "refund", 3), 2000)).result_int(), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   start_next(new_);
   ASSERT_TRUE(wait_healthy(new_));
   std::ofstream(broken) << "now";
@@ -226,15 +226,15 @@
   constexpr auto kTakesOverAfter = 250ms, kToldWithin = 150ms;
   std::optional<SteadyClock::time_point> closed;
   add_host("p1", 3, "plain", [&](tcp::socket& socket, Request&) {
-    while (!watched_.read([this] { return over_; }) && is_open(socket.native_handle())) {
+    while (!watched_.read([this] { return test_over_; }) && is_open(socket.native_handle())) {
       std::this_thread::sleep_for(1ms);
     }
     watched_.change([&] { closed = SteadyClock::now(); });
     return false;
   });
   start_old(6000, 6000);
-  ASSERT_EQ(hand_in("m", "refund", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "refund", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   take_what_is_given_over(folder_ / "state", process_);  // and breaks the link
   std::this_thread::sleep_for(kTakesOverAfter);
   EXPECT_FALSE(watched_.read([&] { return closed.has_value(); }));
@@ -251,8 +251,8 @@
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
   start_old(6000, 6000);
-  ASSERT_EQ(hand_in("m", "note", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "note", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   start_next(new_);
   ASSERT_TRUE(wait_healthy(new_));
   EXPECT_EQ(end(process_, SIGKILL), 128 + SIGKILL);
@@ -266,27 +266,27 @@
   start_old(1000, 1000);
   start_next(new_);
   ASSERT_TRUE(wait_healthy(new_));
-  json::object moved = with_aims(with_second_address(), 1000, 1000);
-  moved["discovery"] = moved_->address();
+  json::object moved = with_aims(with_admin_address(), 1000, 1000);
+  moved["discovery"] = second_discovery_->address();
   reload(json::serialize(moved));
-  ASSERT_TRUE(wait_asked("moved", "/catalog/members"));
-  watched_.change([this] { asked_.clear(); });
+  ASSERT_TRUE(wait_requested("moved", "/catalog/members"));
+  watched_.change([this] { platform_requests_.clear(); });
   process_->signal(SIGTERM);
   ASSERT_TRUE(wait_log(new_, "took over"));
-  EXPECT_TRUE(wait_asked("moved", "/catalog/members"));
-  EXPECT_TRUE(watched_.read([this] { return asked_["first"].empty(); }));
+  EXPECT_TRUE(wait_requested("moved", "/catalog/members"));
+  EXPECT_TRUE(watched_.read([this] { return platform_requests_["first"].empty(); }));
 }
 
 // Its last message has an outcome, and the endpoint is gone from the list, before the call is over.
 TEST_F(HandoverTest, AnEndpointThatIsGoneIsKnownUntilItsCallIsOver) {
   add_silent_host("p1", 3, "plain");
   start_old(500, 500);
-  ASSERT_EQ(hand_in("m", "note", 3), 202U);
-  ASSERT_TRUE(wait_seen("m"));
+  ASSERT_EQ(submit("m", "note", 3), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
   entries_["p1"]["state"] = "DELETED";
   push(list({"p1"}));
   std::this_thread::sleep_for(1s);
-  EXPECT_EQ(call(second_, "HEALTH"), "ACK");
+  EXPECT_EQ(call(admin_address_, "HEALTH"), "ACK");
 }
 
 // The system has no room for the socket that successors connect to as the process begins to serve.
@@ -307,7 +307,7 @@
   FullBacklog late;
   list_host("late", 3, "plain", late.address());
   start_old(2600, 2600);
-  ASSERT_EQ(hand_in("m", "note", 3), 202U);
+  ASSERT_EQ(submit("m", "note", 3), 202U);
   std::this_thread::sleep_for(100ms);  // it is connecting by now
   upgrade(process_, new_);
   EXPECT_EQ(call(new_->second_address(), "OFFLINE late"), "ACK");
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -306,7 +306,7 @@
     return all;
   }
   json::object with_long_list() {
-    json::object changed = with_second_address();
+    json::object changed = with_admin_address();
     changed["known"] = long_list(5);
     changed.at("settings").as_object()["discovery"] = "push";
     return changed;
@@ -316,7 +316,7 @@
     entry["state"] = state;
     return {{"version", version}, {"full", false}, {"servers", json::array{entry}}};
   }
-  std::string call_second(const std::string& line) { return test::call(second_, line); }
+  std::string call_second(const std::string& line) { return test::call(admin_address_, line); }
   // A change by which it is seen that all before it has been taken.
   void push_last(std::int64_t version) {
     list_host("last", 9, "plain", "127.0.0.1:9");
@@ -333,9 +333,9 @@
   add_host("h3", 2, "plain", kAccept);
   add_host("h4", 3, "plain", kAccept);
   start(with_long_list());
-  ASSERT_EQ(hand_in("a", "note", 1), 202U);
-  ASSERT_TRUE(wait_seen("a"));
-  EXPECT_EQ(hand_in("b", "note", 999), 503U);
+  ASSERT_EQ(submit("a", "note", 1), 202U);
+  ASSERT_TRUE(wait_delivered("a"));
+  EXPECT_EQ(submit("b", "note", 999), 503U);
   EXPECT_EQ(call_second("OFFLINE h2"), "ACK");  // both rest
   push(change("h4", "DRAINING", 6));
   push_last(7);
@@ -343,9 +343,9 @@
   for (int i = 0; i < 10; ++i) pass_marker("c" + std::to_string(i), 2);
   EXPECT_EQ(watched_.read([&] { return std::ranges::count(deliveries_, "h2", &Delivery::host); }), 0);
   EXPECT_EQ(call_second("ONLINE h2"), "ACK");
-  ASSERT_EQ(hand_in("d", "note", 3), 202U);
+  ASSERT_EQ(submit("d", "note", 3), 202U);
   pass_marker("e", 1);
-  EXPECT_EQ(count_seen("d"), 0U);
+  EXPECT_EQ(count_deliveries("d"), 0U);
 }
 
 TEST_F(LongListTest, AListThatIsCutOrSpoiltLeavesTheOldOneInForceAndTheNextIsTaken) {
@@ -360,9 +360,9 @@
     watched_.change([&] {
       pushed_ = {text};
       watches_to_end_ = 0;
-      asked_["first"].clear();
+      platform_requests_["first"].clear();
     });
-    ASSERT_TRUE(wait_asked("first", "/catalog"));
+    ASSERT_TRUE(wait_requested("first", "/catalog"));
     pass_marker("m" + std::to_string(text.size()), 1);
     EXPECT_TRUE(call_second("ONLINE far0").starts_with("NAK"));
     watched_.change([&] { watches_to_end_ = 1'000; });
@@ -375,10 +375,10 @@
   push_last(9);
   await_last();
   EXPECT_EQ(call_second("ONLINE far0"), "ACK");
-  ASSERT_EQ(hand_in("late", "note", 1), 202U);
+  ASSERT_EQ(submit("late", "note", 1), 202U);
   process_->signal(SIGKILL);
   process_->wait();
-  EXPECT_EQ(count_seen("late"), 0U);
+  EXPECT_EQ(count_deliveries("late"), 0U);
   EXPECT_NE(process_->log().find("discovery: a list of the watch was cut after byte"), std::string::npos);
   EXPECT_NE(process_->log().find("discovery: a list of the watch can't be read"), std::string::npos);
 }
--- a/tests/prompt_ends_test.cpp
+++ b/tests/prompt_ends_test.cpp
@@ -25,9 +25,9 @@
       return false;
     });
     start();
-    ASSERT_EQ(hand_in("m", "refund", 3), 202U);
+    ASSERT_EQ(submit("m", "refund", 3), 202U);
     ASSERT_TRUE(wait_notice("m", "given_up"));
-    const auto took = watched_.read([this] { return noticed_at_.at("m") - ended_; });
+    const auto took = watched_.read([this] { return first_notice_at_.at("m") - ended_; });
     EXPECT_LT(took, kToldWithin + kHoldUp);
   }
 
--- a/tests/relay_fixture.h
+++ b/tests/relay_fixture.h
@@ -1,4 +1,5 @@
-// A relay's world for its tests: hosts, discovery, and the real program with a folder that lasts.
+// Fixture for tests of the relay's program: hosts and discovery on loopback sockets, and a state folder that
+// survives restarts of the process.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -25,7 +26,8 @@
 namespace http = boost::beast::http;
 using SteadyClock = std::chrono::steady_clock;
 
-struct Delivery {  // one call's message, as a host saw it
+// A message as a host received it.
+struct Delivery {
   std::string host;
   std::string id;
   std::string key;
@@ -33,7 +35,7 @@
   SteadyClock::time_point at;
 };
 
-// What a host does with a call: answers it and goes on, or ends the connection.
+// How a host handles a call. Returns whether it keeps the connection open.
 using Behaviour = std::function<bool(tcp::socket&, Request&)>;
 
 inline const Behaviour kAccept = [](tcp::socket& socket, Request& request) {
@@ -54,36 +56,36 @@
     fs::create_directory(folder_ / "state");
     discovery_.emplace(
         [this](tcp::socket& socket, Request& request) { return discover("first", socket, request); });
-    moved_.emplace(
+    second_discovery_.emplace(
         [this](tcp::socket& socket, Request& request) { return discover("moved", socket, request); });
   }
   ~RelayTest() override {
     process_.reset();
-    watched_.change([this] { over_ = true; });
+    watched_.change([this] { test_over_ = true; });
     hosts_.clear();
-    moved_.reset();
+    second_discovery_.reset();
     discovery_.reset();
     fs::remove_all(folder_);
   }
 
-  // ------------------------------------------------------------------------------- the platform
+  // ------------------------------------------------------------------------------ platform
   bool discover(const std::string& service, tcp::socket& socket, Request& request) {
     bool silent = false;
     watched_.change([&] {
-      asked_[service].push_back(request.target());
+      platform_requests_[service].push_back(request.target());
       silent = service == silent_service_;
     });
     if (silent) {
-      watched_.wait([this] { return over_; });
+      watched_.wait([this] { return test_over_; });
       return false;
     }
     if (request.target() == "/v1/outcomes") {
-      bool fail = false, swallow = false;
+      bool fail = false, leave_unanswered = false;
       watched_.change([&] {
-        swallow = notices_to_swallow_ > 0 && notices_to_swallow_--;
-        if (swallow) swallowed_.push_back(SteadyClock::now());
+        leave_unanswered = notices_to_leave_unanswered_ > 0 && notices_to_leave_unanswered_--;
+        if (leave_unanswered) unanswered_notices_.push_back(SteadyClock::now());
       });
-      if (swallow) return true;
+      if (leave_unanswered) return true;
       watched_.change([&] {
         fail = notices_to_fail_ > 0 && notices_to_fail_--;
         if (fail) return;
@@ -92,30 +94,30 @@
           const json::value notice = json::parse(line);
           const std::string id(notice.at("message").as_string());
           notices_[id] = notice.at("outcome").as_string();
-          noticed_at_.emplace(id, SteadyClock::now());
+          first_notice_at_.emplace(id, SteadyClock::now());
         }
       });
       return answer(socket, fail ? 500 : 204);
     }
-    // A watch: says what the test has pushed, until the test is over.
+    // A watch: sends what the test pushes, until the test ends.
     const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     boost::system::error_code error;
     boost::asio::write(socket, boost::asio::buffer(head), error);
-    for (std::size_t said = 0; !error;) {
+    for (std::size_t sent = 0; !error;) {
       std::string line;
-      const auto due = [&] { return over_ || watches_to_end_ > 0 || pushed_.size() > said; };
-      if (!watched_.wait(due)) continue;  // a test that takes long
+      const auto due = [&] { return test_over_ || watches_to_end_ > 0 || pushed_.size() > sent; };
+      if (!watched_.wait(due)) continue;  // the test is still running
       bool end = false;
       watched_.change([&] {
-        end = over_ || watches_to_end_ > 0;
+        end = test_over_ || watches_to_end_ > 0;
         if (watches_to_end_ > 0) {
           --watches_to_end_;
-        } else if (!over_ && pushed_.size() > said) {
-          line = pushed_[said++] + "\n";
+        } else if (!test_over_ && pushed_.size() > sent) {
+          line = pushed_[sent++] + "\n";
         }
       });
       if (end) return false;
-      if (line.empty()) continue;  // what was due is not any more
+      if (line.empty()) continue;  // another watch was ended instead
       std::ostringstream chunk;
       chunk << std::hex << line.size() << "\r\n" << line << "\r\n";
       boost::asio::write(socket, boost::asio::buffer(chunk.str()), error);
@@ -128,7 +130,7 @@
     hosts_.emplace(id, std::make_unique<Peer>([this, id](tcp::socket& socket, Request& request) {
                      Behaviour behaviour;
                      watched_.change([&] {
-                       note(id, request);
+                       record_deliveries(id, request);
                        behaviour = behaviours_[id];
                      });
                      return behaviour(socket, request);
@@ -139,7 +141,7 @@
     entries_[id] = {{"id", id},     {"addr", address},    {"zone", "a"},   {"kind", kind},
                     {"cell", cell}, {"state", "SERVING"}, {"weight", 1.0}, {"started_ms", 0}};
   }
-  void behave(const std::string& id, Behaviour behaviour) {
+  void set_behaviour(const std::string& id, Behaviour behaviour) {
     watched_.change([&] { behaviours_[id] = std::move(behaviour); });
   }
   json::object list(std::vector<std::string> ids = {}) const {
@@ -153,7 +155,7 @@
     watched_.change([&] { pushed_.push_back(json::serialize(list)); });
   }
 
-  void note(const std::string& host, const Request& request) {
+  void record_deliveries(const std::string& host, const Request& request) {
     const auto add = [&](std::string id, std::string key, std::string body) {
       deliveries_.push_back({host, std::move(id), std::move(key), std::move(body), SteadyClock::now()});
     };
@@ -170,7 +172,7 @@
     }
   }
 
-  // ------------------------------------------------------------------------------------ the relay
+  // --------------------------------------------------------------------------------- relay
   json::object config() const {
     const auto cls = [](const char* name, const char* effect) {
       return json::object{{"name", name},          {"aim", 1000.0},     {"deadline", 20000.0},
@@ -221,26 +223,27 @@
     environment.emplace("PROXY_STATE", folder_ / "state");
     process_.emplace(PROGRAM, environment);
     address_ = process_->address();
-    second_ = process_->second_address();
+    admin_address_ = process_->second_address();
   }
-  json::object with_second_address() const {
+  json::object with_admin_address() const {
     json::object changed = config();
     changed["admin_addr"] = "127.0.0.1:0";
     return changed;
   }
-  // Says SIGHUP with another text of the configuration.
+  // Replaces the text of the configuration and sends SIGHUP.
   void reload(const std::string& text) {
     std::ofstream(folder_ / "config.json") << text;
     process_->signal(SIGHUP);
   }
-  json::object moved_config() const {
+  json::object second_discovery_config() const {
     json::object changed = config();
-    changed["discovery"] = moved_->address();
+    changed["discovery"] = second_discovery_->address();
     return changed;
   }
-  bool wait_asked(const std::string& service, const std::string& target) {
+  bool wait_requested(const std::string& service, const std::string& target) {
     return watched_.wait([&] {
-      return std::ranges::any_of(asked_[service], [&](const auto& t) { return t.starts_with(target); });
+      return std::ranges::any_of(platform_requests_[service],
+                                 [&](const auto& t) { return t.starts_with(target); });
     });
   }
   int stop(int signal) {
@@ -261,62 +264,63 @@
     request.prepare_payload();
     return request;
   }
-  Request with_time(Request request, int ms) {
+  Request with_timeout(Request request, int ms) {
     request.set("X-Timeout-Ms", std::to_string(ms));
     return request;
   }
-  unsigned hand_in(const std::string& id, const std::string& cls, int dest,
-                   const std::string& body = "hello") {
+  unsigned submit(const std::string& id, const std::string& cls, int dest,
+                  const std::string& body = "hello") {
     return ask(address_, message(id, cls, dest, body)).result_int();
   }
 
-  std::size_t seen(const std::string& id) const {
+  std::size_t deliveries_of(const std::string& id) const {
     return static_cast<std::size_t>(std::ranges::count(deliveries_, id, &Delivery::id));
   }
-  bool wait_seen(const std::string& id, std::size_t times = 1) {
-    return watched_.wait([&, times] { return seen(id) >= times; });
+  bool wait_delivered(const std::string& id, std::size_t times = 1) {
+    return watched_.wait([&, times] { return deliveries_of(id) >= times; });
   }
-  std::size_t count_seen(const std::string& id) {
-    return watched_.read([&] { return seen(id); });
+  std::size_t count_deliveries(const std::string& id) {
+    return watched_.read([&] { return deliveries_of(id); });
   }
   bool wait_notice(const std::string& id, const std::string& outcome) {
     return watched_.wait([&] { return notices_.contains(id) && notices_.at(id) == outcome; });
   }
-  // A later message of the same path went through: what was to happen to earlier ones has happened.
+  // Delivers a later message to the same destination: the effects of earlier messages are visible after it.
   void pass_marker(const std::string& id, int dest) {
-    ASSERT_EQ(hand_in(id, "note", dest), 202U);
-    ASSERT_TRUE(wait_seen(id));
+    ASSERT_EQ(submit(id, "note", dest), 202U);
+    ASSERT_TRUE(wait_delivered(id));
   }
 
-  // Leaves a call without an answer until the test is over or lets it go.
+  // Leaves calls unanswered until `released_` is set or the test ends.
   Behaviour silent() {
     return [this](tcp::socket& socket, Request&) {
-      watched_.wait([this] { return over_ || released_; });
+      watched_.wait([this] { return test_over_ || released_; });
       return answer(socket, 200);
     };
   }
 
   fs::path folder_;
-  std::map<std::string, std::string> environment_;  // of the relay, besides its folder and configuration
+  std::map<std::string, std::string>
+      environment_;  // of the relay, besides its state folder and configuration
   double disk_mb_ = 3;
   Watched watched_;
-  bool over_ = false, released_ = false;
+  bool test_over_ = false, released_ = false;
   int notices_to_fail_ = 0;
-  int notices_to_swallow_ = 0;  // get no answer, on a connection that stays open
-  std::vector<SteadyClock::time_point> swallowed_;
+  int notices_to_leave_unanswered_ = 0;  // on connections that stay open
+  std::vector<SteadyClock::time_point> unanswered_notices_;
   int watches_to_end_ = 0;
   std::vector<std::string> pushed_;
   std::map<std::string, std::string> notices_;
-  std::map<std::string, SteadyClock::time_point> noticed_at_;  // the first time
+  std::map<std::string, SteadyClock::time_point> first_notice_at_;
   std::vector<Delivery> deliveries_;
   std::map<std::string, Behaviour> behaviours_;
   std::map<std::string, json::object> entries_;
-  std::map<std::string, std::vector<std::string>> asked_;  // targets, by service
+  std::map<std::string, std::vector<std::string>> platform_requests_;  // targets, by service
   std::string silent_service_;
-  std::optional<Peer> discovery_, moved_;
+  std::optional<Peer> discovery_, second_discovery_;
   std::map<std::string, std::unique_ptr<Peer>> hosts_;
   std::optional<Process> process_;
-  std::string address_, second_;
+  std::string address_, admin_address_;
 };
 
 }  // namespace myrtlegrade::test
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -16,7 +16,7 @@
   start();
   const std::vector<std::string> classes{"note", "receipt", "refund"};
   for (std::size_t i = 0; i < classes.size(); ++i) {
-    ASSERT_EQ(hand_in(classes[i] + "-1", classes[i], static_cast<int>(i) + 2), 202U);
+    ASSERT_EQ(submit(classes[i] + "-1", classes[i], static_cast<int>(i) + 2), 202U);
   }
   std::this_thread::sleep_for(300ms);  // their calls are decided, and connect
   stop(SIGKILL);
@@ -24,7 +24,7 @@
     add_host("h" + std::to_string(destination), destination, "plain", kAccept);
   }
   start();
-  for (const std::string& cls : classes) EXPECT_TRUE(wait_seen(cls + "-1")) << cls;
+  for (const std::string& cls : classes) EXPECT_TRUE(wait_delivered(cls + "-1")) << cls;
 }
 
 // The same where the process is told to end, and its calls connect until it does.
@@ -34,12 +34,12 @@
   json::object patient = config();
   patient.at("settings").at("allowed").as_object()["connectTimeout"] = 10000.0;
   start(patient);
-  ASSERT_EQ(hand_in("once", "refund", 2), 202U);
+  ASSERT_EQ(submit("once", "refund", 2), 202U);
   std::this_thread::sleep_for(100ms);
   stop(SIGTERM);
   add_host("h", 2, "plain", kAccept);
   start();
-  EXPECT_TRUE(wait_seen("once"));
+  EXPECT_TRUE(wait_delivered("once"));
 }
 
 // With PROXY_TRACE=1 the logs of both processes show the message's whole way.
@@ -48,14 +48,14 @@
   list_host("h", 2, "plain", hung.address());
   environment_["PROXY_TRACE"] = "1";
   start();
-  ASSERT_EQ(hand_in("traced", "refund", 2), 202U);
+  ASSERT_EQ(submit("traced", "refund", 2), 202U);
   std::this_thread::sleep_for(100ms);
   process_->signal(SIGKILL);
   process_->wait();
   const std::string before = process_->log_with_start();
   add_host("h", 2, "plain", kAccept);
   start();
-  EXPECT_TRUE(wait_seen("traced"));
+  EXPECT_TRUE(wait_delivered("traced"));
   process_->signal(SIGTERM);
   process_->wait();
   const std::string after = process_->log_with_start();
@@ -72,13 +72,13 @@
 TEST_F(RestartTest, LeavesOutWorkThatMayHaveRun) {
   add_host("h", 2, "plain", silent());
   start();
-  ASSERT_EQ(hand_in("once", "refund", 2), 202U);
-  ASSERT_TRUE(wait_seen("once"));
+  ASSERT_EQ(submit("once", "refund", 2), 202U);
+  ASSERT_TRUE(wait_delivered("once"));
   stop(SIGKILL);
-  behave("h", kAccept);
+  set_behaviour("h", kAccept);
   start();
   EXPECT_TRUE(wait_notice("once", "given_up"));
-  EXPECT_EQ(count_seen("once"), 1U);
+  EXPECT_EQ(count_deliveries("once"), 1U);
 }
 
 }  // namespace
--- a/tests/same_request_test.cpp
+++ b/tests/same_request_test.cpp
@@ -40,9 +40,9 @@
   }
   // Each answered as delivered, none called again.
   void expect_delivered_once() {
-    for (const std::string& cls : kClasses) EXPECT_EQ(hand_in(cls, cls, 2), 202U) << cls;
+    for (const std::string& cls : kClasses) EXPECT_EQ(submit(cls, cls, 2), 202U) << cls;
     pass_marker("marker-" + std::to_string(++markers_), 2);
-    for (const std::string& cls : kClasses) EXPECT_EQ(count_seen(cls), 1U) << cls;
+    for (const std::string& cls : kClasses) EXPECT_EQ(count_deliveries(cls), 1U) << cls;
   }
   static void reset(tcp::socket& socket) {
     socket.set_option(boost::asio::socket_base::linger(true, 0));
@@ -65,20 +65,20 @@
 // upgrade at the new process and on a connection to the old one.
 TEST_F(SameRequestTest, AfterItsDeliveryIsAnsweredAsDelivered) {
   add_host("h", 2, "plain", kAccept);
-  start(with_second_address());
+  start(with_admin_address());
   for (const std::string& cls : kClasses) {
-    ASSERT_EQ(hand_in(cls, cls, 2), 202U);
-    ASSERT_TRUE(wait_seen(cls));
+    ASSERT_EQ(submit(cls, cls, 2), 202U);
+    ASSERT_TRUE(wait_delivered(cls));
     ASSERT_TRUE(wait_ended(cls));
   }
   expect_delivered_once();
   for (const int signal : {SIGTERM, SIGKILL}) {
     stop(signal);
-    start(with_second_address());
+    start(with_admin_address());
     expect_delivered_once();
   }
-  EXPECT_EQ(hand_in("refund", "refund", 2, "another body"), 409U);
-  EXPECT_EQ(hand_in("refund", "note", 2), 409U);
+  EXPECT_EQ(submit("refund", "refund", 2, "another body"), 409U);
+  EXPECT_EQ(submit("refund", "note", 2), 409U);
   boost::asio::io_context context;
   tcp::socket kept = connect(context, address_);
   std::this_thread::sleep_for(50ms);  // it is accepted
@@ -95,24 +95,24 @@
 TEST_F(SameRequestTest, AfterItsMessageWasGivenUpFails) {
   add_host("h", 2, "plain", kReset);
   start();
-  ASSERT_EQ(hand_in("once", "refund", 2), 202U);
+  ASSERT_EQ(submit("once", "refund", 2), 202U);
   ASSERT_TRUE(wait_notice("once", "given_up"));
-  behave("h", kAccept);
-  EXPECT_EQ(hand_in("once", "refund", 2), kFailed);
+  set_behaviour("h", kAccept);
+  EXPECT_EQ(submit("once", "refund", 2), kFailed);
   stop(SIGKILL);
   start();
-  EXPECT_EQ(hand_in("once", "refund", 2), kFailed);
+  EXPECT_EQ(submit("once", "refund", 2), kFailed);
   pass_marker("marker", 2);
-  EXPECT_EQ(count_seen("once"), 1U);
+  EXPECT_EQ(count_deliveries("once"), 1U);
 }
 
 TEST_F(SameRequestTest, AfterItsMessageWasHandedBackIsRefused) {
   add_host("h", 2, "plain", kError);
   start();
-  ASSERT_EQ(hand_in("back", "note", 2), 202U);
+  ASSERT_EQ(submit("back", "note", 2), 202U);
   ASSERT_TRUE(wait_notice("back", "handed_back"));
-  const std::size_t calls = count_seen("back");
-  behave("h", kAccept);
+  const std::size_t calls = count_deliveries("back");
+  set_behaviour("h", kAccept);
   for (int start_number = 0; start_number < 2; ++start_number) {
     const Response response = ask(address_, message("back", "note", 2));
     EXPECT_EQ(response.result_int(), kRefused);
@@ -122,7 +122,7 @@
     start();
   }
   pass_marker("marker", 2);
-  EXPECT_EQ(count_seen("back"), calls);
+  EXPECT_EQ(count_deliveries("back"), calls);
 }
 
 // Guards against a notice that the platform takes late ending another message, one of the same id.
@@ -130,15 +130,15 @@
   add_host("h", 2, "plain", kReset);
   watched_.change([&] { notices_to_fail_ = 1000; });
   start();
-  const Request request = with_time(message("once", "refund", 2), 300);
+  const Request request = with_timeout(message("once", "refund", 2), 300);
   ASSERT_EQ(ask(address_, request).result_int(), 202U);
   ASSERT_TRUE(wait_ended("once"));
   std::this_thread::sleep_for(300ms + kComesAgainWithin + 50ms);
-  behave("h", kAccept);
+  set_behaviour("h", kAccept);
   EXPECT_EQ(ask(address_, request).result_int(), kFailed);
   watched_.change([&] { notices_to_fail_ = 0; });
   EXPECT_TRUE(wait_notice("once", "given_up"));
-  EXPECT_EQ(count_seen("once"), 1U);
+  EXPECT_EQ(count_deliveries("once"), 1U);
 }
 
 // Guards against an end that only memory knows being forgotten while the folder takes nothing.
@@ -154,14 +154,14 @@
   json::array& classes = patient.at("settings").at("classes").as_array();
   for (json::value& cls : classes) cls.as_object()["aim"] = 10000.0;
   start(patient);
-  ASSERT_EQ(hand_in("once", "refund", 2), 202U);
-  ASSERT_TRUE(wait_seen("once"));
+  ASSERT_EQ(submit("once", "refund", 2), 202U);
+  ASSERT_TRUE(wait_delivered("once"));
   std::this_thread::sleep_until(begun + kFailsAfter + 50ms);
   watched_.change([&] { released_ = true; });
   ASSERT_TRUE(wait_log(process_, "once outcome attempt=0 result=ok"));
-  EXPECT_EQ(hand_in("once", "refund", 2), 202U);
+  EXPECT_EQ(submit("once", "refund", 2), 202U);
   EXPECT_FALSE(wait_ended("once", 100ms)) << "the folder does not fail";
-  EXPECT_EQ(count_seen("once"), 1U);
+  EXPECT_EQ(count_deliveries("once"), 1U);
 }
 
 // Guards against a message that never ran being told as failed, as its client comes again at once.
@@ -179,12 +179,12 @@
     reset(client);
     process_->signal(SIGCONT);
     ASSERT_TRUE(wait_log(process_, cls + " withdrawn")) << cls;
-    EXPECT_EQ(hand_in(cls, cls, 2), kRefused) << cls;
+    EXPECT_EQ(submit(cls, cls, 2), kRefused) << cls;
   }
   add_host("h2", 2, "plain", kAccept);
   push(list());
-  ASSERT_TRUE(wait_until([&] { return hand_in("refund", "refund", 2) == 202U; })) << "its call can't come up";
-  EXPECT_TRUE(wait_seen("refund"));
+  ASSERT_TRUE(wait_until([&] { return submit("refund", "refund", 2) == 202U; })) << "its call can't come up";
+  EXPECT_TRUE(wait_delivered("refund"));
 }
 
 // Guards against a time that begins anew: the client counts it from its first sending, and heard of the end
@@ -196,10 +196,10 @@
   });
   environment_["PROXY_TRACE"] = "1";
   start();
-  ASSERT_EQ(hand_in("waits", "note", 2), 202U);  // from now on the next one is held
+  ASSERT_EQ(submit("waits", "note", 2), 202U);  // from now on the next one is held
   ASSERT_TRUE(wait_log(process_, "waits outcome"));
-  behave("h", silent());
-  const Request request = with_time(message("m", "refund", 2), static_cast<int>(kTime.count()));
+  set_behaviour("h", silent());
+  const Request request = with_timeout(message("m", "refund", 2), static_cast<int>(kTime.count()));
   boost::asio::io_context context;
   tcp::socket client = connect(context, address_);
   std::this_thread::sleep_for(50ms);  // it is accepted
@@ -212,17 +212,17 @@
   std::this_thread::sleep_until(sent + kAgainAfter);
   ASSERT_EQ(ask(address_, request).result_int(), 202U);
   ASSERT_TRUE(wait_notice("m", "given_up"));
-  EXPECT_LT(watched_.read([this] { return noticed_at_.at("m"); }) - sent, kTime + kOwedWithin);
+  EXPECT_LT(watched_.read([this] { return first_notice_at_.at("m"); }) - sent, kTime + kOwedWithin);
 }
 
 // The client of a message that a new process has taken on and called is gone before the old one can tell it.
 TEST_F(SameRequestTest, AfterItsMessageWasWithdrawnAndMayHaveRunRunsOnlyWhatMayRunTwice) {
   environment_["PROXY_TRACE"] = "1";
   add_host("h", 2, "plain", [this](tcp::socket& socket, Request&) {
-    watched_.wait([this] { return over_ || released_; });
+    watched_.wait([this] { return test_over_ || released_; });
     return socket.is_open() && false;
   });
-  start(with_second_address());
+  start(with_admin_address());
   boost::asio::io_context context;
   std::vector<tcp::socket> clients;
   for (std::size_t i = 0; i < kClasses.size(); ++i) clients.push_back(connect(context, address_));
@@ -234,19 +234,19 @@
   std::this_thread::sleep_for(100ms);  // the old process hands them on
   process_->signal(SIGSTOP);
   new_->signal(SIGCONT);
-  for (const std::string& cls : kClasses) ASSERT_TRUE(wait_seen(cls)) << cls;
+  for (const std::string& cls : kClasses) ASSERT_TRUE(wait_delivered(cls)) << cls;
   for (tcp::socket& client : clients) reset(client);
   process_->signal(SIGCONT);
   for (const std::string& cls : kClasses) ASSERT_TRUE(wait_log(new_, cls + " withdrawn")) << cls;
-  behave("h", kAccept);
+  set_behaviour("h", kAccept);
   watched_.change([&] { released_ = true; });
   for (const std::string& cls : kClasses) ASSERT_TRUE(wait_log(new_, cls + " outcome")) << cls;
-  EXPECT_TRUE(wait_until([&] { return hand_in("note", "note", 2) == 202U; }));
-  EXPECT_EQ(hand_in("receipt", "receipt", 2), kFailed);
-  EXPECT_EQ(hand_in("refund", "refund", 2), kFailed);
-  EXPECT_TRUE(wait_seen("note", 2));
-  EXPECT_EQ(count_seen("refund"), 1U);
-  EXPECT_EQ(count_seen("receipt"), 1U);
+  EXPECT_TRUE(wait_until([&] { return submit("note", "note", 2) == 202U; }));
+  EXPECT_EQ(submit("receipt", "receipt", 2), kFailed);
+  EXPECT_EQ(submit("refund", "refund", 2), kFailed);
+  EXPECT_TRUE(wait_delivered("note", 2));
+  EXPECT_EQ(count_deliveries("refund"), 1U);
+  EXPECT_EQ(count_deliveries("receipt"), 1U);
 }
 
 }  // namespace
--- a/tests/stream_faults_test.cpp
+++ b/tests/stream_faults_test.cpp
@@ -30,7 +30,7 @@
   void expect_notice_in_time() {
     add_host("h", 2, "plain", [](tcp::socket&, Request&) { return false; });
     start();
-    ASSERT_EQ(hand_in("a", "refund", 2), 202U);
+    ASSERT_EQ(submit("a", "refund", 2), 202U);
     ASSERT_TRUE(wait_notice("a", "given_up"));
     const auto told = SteadyClock::now();
     const auto called = watched_.read([this] { return deliveries_.front().at; });
@@ -57,9 +57,9 @@
   start_old();
   for (int i = 0; i < 4; ++i) {
     const std::string id = "a" + std::to_string(i);
-    ASSERT_EQ(hand_in(id, "note", 2), 202U);
+    ASSERT_EQ(submit(id, "note", 2), 202U);
     const auto taken = SteadyClock::now();
-    ASSERT_TRUE(wait_seen(id));
+    ASSERT_TRUE(wait_delivered(id));
     EXPECT_LT(SteadyClock::now() - taken, kNoHang);
   }
 }
@@ -68,7 +68,7 @@
   add_host("h", 2, "plain", kAccept);
   const auto begun = SteadyClock::now();
   start();
-  ASSERT_TRUE(wait_asked("first", "/catalog/members"));
+  ASSERT_TRUE(wait_requested("first", "/catalog/members"));
   EXPECT_LT(SteadyClock::now() - begun, kNoHang);
 }
 
@@ -90,7 +90,8 @@
 
 TEST_F(ShortWriteTest, TheCommandLineHasItsReply) {
   start_old();
-  const std::string command = "LD_PRELOAD=" SHIM " SOAK_SHORT_SENDS=1 " PROGRAM " status --admin " + second_;
+  const std::string command =
+      "LD_PRELOAD=" SHIM " SOAK_SHORT_SENDS=1 " PROGRAM " status --admin " + admin_address_;
   const auto begun = SteadyClock::now();
   EXPECT_EQ(std::system((command + " >/dev/null").c_str()), 0);
   EXPECT_LT(SteadyClock::now() - begun, kNoHang);
@@ -108,10 +109,10 @@
   environment_["LD_PRELOAD"] = SHIM;
   environment_["SOAK_BROKEN_READ"] = address.substr(address.rfind(':') + 1);
   start();
-  ASSERT_EQ(hand_in("a", "refund", 2), 202U);
-  ASSERT_TRUE(wait_seen("a"));
-  ASSERT_EQ(hand_in("b", "refund", 2), 202U);
-  ASSERT_TRUE(wait_seen("b"));
+  ASSERT_EQ(submit("a", "refund", 2), 202U);
+  ASSERT_TRUE(wait_delivered("a"));
+  ASSERT_EQ(submit("b", "refund", 2), 202U);
+  ASSERT_TRUE(wait_delivered("b"));
   EXPECT_EQ(stop(SIGTERM), 0);
   EXPECT_TRUE(watched_.read([&] { return notices_.empty(); })) << "it was delivered";
 }
@@ -132,7 +133,7 @@
 }
 
 TEST_F(NoticeTriesTest, TwoThatGetNoAnswerLeaveTimeForTheNext) {
-  notices_to_swallow_ = 2;
+  notices_to_leave_unanswered_ = 2;
   expect_notice_in_time();
 }
 
--- a/tests/unheard_test.cpp
+++ b/tests/unheard_test.cpp
@@ -15,7 +15,7 @@
   // Its answer comes when the test says so.
   void add_slow_host(const std::string& id, int cell, unsigned status) {
     add_host(id, cell, "plain", [this, status](tcp::socket& socket, Request&) {
-      watched_.wait([this] { return over_ || released_; });
+      watched_.wait([this] { return test_over_ || released_; });
       return answer(socket, status);
     });
   }
@@ -28,7 +28,7 @@
     std::this_thread::sleep_for(kHandedOn);
     process_->signal(SIGSTOP);
     new_->signal(SIGCONT);
-    ASSERT_TRUE(wait_seen(id));
+    ASSERT_TRUE(wait_delivered(id));
     client.set_option(boost::asio::socket_base::linger(true, 0));
     client.close();
   }
@@ -57,8 +57,8 @@
   upgrade(process_, new_);
   std::this_thread::sleep_until(begun + kFailsAfter - kBefore);
   hand_in_and_go(client, message("once", "note", 2), "once");
-  EXPECT_EQ(hand_in("other", "note", 3), 202U);
-  ASSERT_TRUE(wait_seen("other"));
+  EXPECT_EQ(submit("other", "note", 3), 202U);
+  ASSERT_TRUE(wait_delivered("other"));
   std::this_thread::sleep_until(begun + kFailsAfter);
   watched_.change([&] { released_ = true; });
   ASSERT_TRUE(wait_log(new_, "once handed_back"));
@@ -82,8 +82,8 @@
   upgrade(new_, third_);
   watched_.change([&] { released_ = true; });
   ASSERT_TRUE(wait_log(third_, "once outcome"));
-  EXPECT_EQ(hand_in("once", "refund", 2), 202U) << "delivered";
-  EXPECT_EQ(count_seen("once"), 1U);
+  EXPECT_EQ(submit("once", "refund", 2), 202U) << "delivered";
+  EXPECT_EQ(count_deliveries("once"), 1U);
 }
 
 }  // namespace
--- a/tests/upgrade_fixture.h
+++ b/tests/upgrade_fixture.h
@@ -10,11 +10,11 @@
   void start_old() {
     add_host("h", 2, "plain", kAccept);
     add_host("h2", 3, "plain", kAccept);
-    start(with_second_address());
+    start(with_admin_address());
   }
   // The new process is told the addresses of the old one, but for its own second address.
   json::object beside() const {
-    json::object changed = with_second_address();
+    json::object changed = with_admin_address();
     changed["listen"] = address_;
     return changed;
   }
@@ -41,7 +41,7 @@
   }
   // Leaves so many calls of the host without an answer, the rest wait.
   void fill(const std::string& prefix, const std::string& cls, int count) {
-    for (int i = 0; i < count; ++i) ASSERT_EQ(hand_in(prefix + std::to_string(i), cls, 2), 202U);
+    for (int i = 0; i < count; ++i) ASSERT_EQ(submit(prefix + std::to_string(i), cls, 2), 202U);
   }
   std::optional<Process> new_;
 };
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_F(UpgradeTest, EachMessageIsDeliveredOnceAcrossAnUpgrade) {
   start_old();
-  behave("h", silent());
+  set_behaviour("h", silent());
   fill("a", "refund", 12);  // some are out, some are held
   boost::asio::io_context context;
   tcp::socket kept = connect(context, address_);
@@ -25,36 +25,36 @@
   // A client of the old process is served while that ends, by the new one's decision.
   const Response last = exchange(message("k1", "refund", 3));
   EXPECT_EQ(last.result_int(), 202U);
-  EXPECT_EQ(hand_in("n0", "refund", 3), 202U);
-  EXPECT_EQ(hand_in("a0", "refund", 2), 202U) << "in hand already";
-  EXPECT_TRUE(wait_seen("k1"));
-  EXPECT_TRUE(wait_seen("n0"));
-  behave("h", kAccept);
+  EXPECT_EQ(submit("n0", "refund", 3), 202U);
+  EXPECT_EQ(submit("a0", "refund", 2), 202U) << "in hand already";
+  EXPECT_TRUE(wait_delivered("k1"));
+  EXPECT_TRUE(wait_delivered("n0"));
+  set_behaviour("h", kAccept);
   watched_.change([&] { released_ = true; });
   EXPECT_EQ(process_->wait(), 0);
-  for (int i = 0; i < 12; ++i) ASSERT_TRUE(wait_seen("a" + std::to_string(i))) << i;
+  for (int i = 0; i < 12; ++i) ASSERT_TRUE(wait_delivered("a" + std::to_string(i))) << i;
   pass_marker("m", 2);
-  for (int i = 0; i < 12; ++i) EXPECT_EQ(count_seen("a" + std::to_string(i)), 1U) << i;
-  EXPECT_EQ(count_seen("k1"), 1U);
+  for (int i = 0; i < 12; ++i) EXPECT_EQ(count_deliveries("a" + std::to_string(i)), 1U) << i;
+  EXPECT_EQ(count_deliveries("k1"), 1U);
   EXPECT_TRUE(watched_.read([&] { return notices_.empty(); }));
   EXPECT_TRUE(healthy(new_));
 }
 
 TEST_F(UpgradeTest, TheNewProcessGoesOnWhereTheOldOneIsKilled) {
   start_old();
-  behave("h", silent());
+  set_behaviour("h", silent());
   fill("a", "refund", 12);
   const std::size_t out = watched_.read([&] { return deliveries_.size(); });
   start_beside(new_);
   EXPECT_TRUE(healthy(new_));
   end(process_, SIGKILL);
-  behave("h", kAccept);
+  set_behaviour("h", kAccept);
   watched_.change([&] { released_ = true; });
   // What was out may have run, and may not be repeated; what was held is delivered.
   ASSERT_TRUE(watched_.wait([&] { return deliveries_.size() + notices_.size() >= 12 + out; }));
-  EXPECT_EQ(hand_in("m", "note", 2), 202U);
-  ASSERT_TRUE(wait_seen("m"));
-  for (int i = 0; i < 12; ++i) EXPECT_LE(count_seen("a" + std::to_string(i)), 1U) << i;
+  EXPECT_EQ(submit("m", "note", 2), 202U);
+  ASSERT_TRUE(wait_delivered("m"));
+  for (int i = 0; i < 12; ++i) EXPECT_LE(count_deliveries("a" + std::to_string(i)), 1U) << i;
 }
 
 TEST_F(UpgradeTest, TheOldProcessGoesOnWhereTheNewOneIsKilledAndAnotherMayStandBy) {
@@ -79,35 +79,35 @@
   start_old();
   start_beside(new_);
   EXPECT_TRUE(healthy(new_));
-  behave("h", silent());
+  set_behaviour("h", silent());
   fill("a", "refund", 12);
   new_->signal(SIGSTOP);
   EXPECT_EQ(end(process_, SIGTERM), 0);
-  behave("h", kAccept);
+  set_behaviour("h", kAccept);
   watched_.change([&] { released_ = true; });
   new_->signal(SIGCONT);
   pass_marker("m", 3);
-  for (int i = 0; i < 12; ++i) EXPECT_LE(count_seen("a" + std::to_string(i)), 1U) << i;
-  ASSERT_TRUE(wait_seen("a11"));  // it was held, and is in the journal that the new process has read
+  for (int i = 0; i < 12; ++i) EXPECT_LE(count_deliveries("a" + std::to_string(i)), 1U) << i;
+  ASSERT_TRUE(wait_delivered("a11"));  // it was held, and is in the journal that the new process has read
 }
 
 TEST_F(UpgradeTest, BansAndToldWaitsHoldAcrossIt) {
   add_host("other", 2, "plain", kAccept);
   start_old();
-  EXPECT_EQ(call(second_, "OFFLINE h"), "ACK");
-  behave("h2", [](tcp::socket& socket, Request&) {
+  EXPECT_EQ(call(admin_address_, "OFFLINE h"), "ACK");
+  set_behaviour("h2", [](tcp::socket& socket, Request&) {
     return answer(socket, 429, "", {{"X-RateLimit-Wait-Ms", "60000"}});
   });
-  EXPECT_EQ(hand_in("w0", "note", 3), 202U);
-  ASSERT_TRUE(wait_seen("w0"));
+  EXPECT_EQ(submit("w0", "note", 3), 202U);
+  ASSERT_TRUE(wait_delivered("w0"));
   start_beside(new_);
   EXPECT_EQ(call(new_->second_address(), "OFFLINE nobody").substr(0, 3), "NAK");
   EXPECT_EQ(call(new_->second_address(), "ONLINE h"), "ACK");  // the old process does it
   EXPECT_EQ(call(new_->second_address(), "OFFLINE h"), "ACK");
   EXPECT_EQ(end(process_, SIGTERM), 0);
-  behave("h2", kAccept);
+  set_behaviour("h2", kAccept);
   for (int i = 0; i < 4; ++i) {
-    hand_in("w1" + std::to_string(i), "note", 3);
+    submit("w1" + std::to_string(i), "note", 3);
     pass_marker("m" + std::to_string(i), 2);
   }
   const auto at = [&](const std::string& host) {
@@ -119,7 +119,7 @@
 
 TEST_F(UpgradeTest, LeavingHoldsAcrossIt) {
   start_old();
-  EXPECT_EQ(call(second_, "LEAVE"), "ACK");
+  EXPECT_EQ(call(admin_address_, "LEAVE"), "ACK");
   start_beside(new_);
   EXPECT_TRUE(healthy(new_));
   EXPECT_EQ(end(process_, SIGTERM), 0);
--- a/tests/window_test.cpp
+++ b/tests/window_test.cpp
@@ -114,7 +114,7 @@
     std::string id;
     for (unsigned i = 0; i < 3 + random_() % 2; ++i) {
       id = "w" + std::to_string(seed_) + "-" + std::to_string(life) + "-" + std::to_string(i);
-      if (hand_in(id, "receipt", one_in(3) ? 3 : 2) == 202) taken_.push_back(id);
+      if (submit(id, "receipt", one_in(3) ? 3 : 2) == 202) taken_.push_back(id);
       if (one_in(2)) std::this_thread::sleep_for(upto(200ms));
     }
     return id;
@@ -126,7 +126,7 @@
     if (one_in(2)) {
       half = std::thread([this, id = last + "-half"] {
         try {
-          hand_in(id, "receipt", 2);
+          submit(id, "receipt", 2);
         } catch (const boost::system::system_error&) {
         }
       });
@@ -227,7 +227,7 @@
   json::object patient = config();  // its time-out comes after the end of a planned restart
   patient.at("settings").at("classes").at(1).as_object()["aim"] = 10000.0;
   start(patient);
-  ASSERT_EQ(hand_in("k1", "receipt", 2, std::string(60'000, 'x')), 202U);
+  ASSERT_EQ(submit("k1", "receipt", 2, std::string(60'000, 'x')), 202U);
   tcp::socket socket = slow.accept();
   std::string text(1, '\0');
   boost::system::error_code ended;
@@ -284,11 +284,11 @@
   }
   start();
   for (const char* id : {"open", "open-set-back", "open-set-ahead", "open-earlier-program"}) {
-    EXPECT_TRUE(wait_seen(id)) << id;
+    EXPECT_TRUE(wait_delivered(id)) << id;
   }
   for (const char* id : {"over-set-back", "over-anew", "anew-set-back"}) {
     EXPECT_TRUE(wait_notice(id, "given_up")) << id;
-    EXPECT_EQ(count_seen(id), 0U) << id;
+    EXPECT_EQ(count_deliveries(id), 0U) << id;
   }
 }
 
