--- a/relay/arrival_time.cpp
+++ b/relay/arrival_time.cpp
@@ -39,7 +39,7 @@
 }
 
 void ArrivalTime::read(int socket) {
-  const Moment present = read_clocks();
+  const Timestamp present = read_clocks();
   const auto told = told_by_kernel(socket);
   const std::chrono::milliseconds since(told ? told->tcpi_last_data_recv : 0);
   const Clock::duration waited = std::min<Clock::duration>(since, budgets::kUnread + not_reading_);
--- a/relay/arrival_time.h
+++ b/relay/arrival_time.h
@@ -12,7 +12,7 @@
 
 #include <chrono>
 
-#include "moment.h"
+#include "timestamp.h"
 
 namespace myrtlegrade {
 
@@ -30,7 +30,7 @@
   void read(int socket);
 
   // Of the last bytes that were read: never in the future, never later than they were read.
-  const Moment& last_byte() const { return last_byte_; }
+  const Timestamp& last_byte() const { return last_byte_; }
 
  private:
   using Clock = std::chrono::steady_clock;
@@ -38,7 +38,7 @@
   Clock::time_point read_at_ = Clock::now();
   bool waiting_ = false;
   Clock::duration not_reading_{};  // between the last read and the wait for the next
-  Moment last_byte_{};
+  Timestamp last_byte_{};
 };
 
 }  // namespace myrtlegrade
--- a/relay/call_ends.cpp
+++ b/relay/call_ends.cpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <utility>
 
-#include "frames.h"
+#include "handover_frames.h"
 
 namespace myrtlegrade {
 
@@ -18,7 +18,7 @@
   if (record.kind == CallRecord::Kind::outcome) {
     out.number(record.call).text(record.message).number(record.attempt);
     write_result(out, record.result);
-  } else if (record.kind == CallRecord::Kind::over) {
+  } else if (record.kind == CallRecord::Kind::ended) {
     out.number(record.call).number(static_cast<std::uint64_t>(record.end));
   }
   return out.record();
@@ -33,23 +33,23 @@
     record.message = in.text();
     record.attempt = static_cast<std::uint32_t>(in.number());
     record.result = read_result(in);
-  } else if (record.kind == CallRecord::Kind::over) {
+  } else if (record.kind == CallRecord::Kind::ended) {
     record.call = in.number();
     record.end = static_cast<CallEnd>(in.number());
   } else if (record.kind != CallRecord::Kind::closed) {
-    return std::nullopt;  // of a later version
+    return std::nullopt;  // written by a later version
   }
   return in.good ? std::optional(record) : std::nullopt;
 }
 
-std::string read_from(int file, off_t at) {
+std::string read_tail(int file, off_t at) {
   std::string bytes;
-  std::array<char, 4096> part;
+  std::array<char, 4096> chunk;
   while (true) {
-    const ssize_t size = ::pread(file, part.data(), part.size(), at + static_cast<off_t>(bytes.size()));
+    const ssize_t size = ::pread(file, chunk.data(), chunk.size(), at + static_cast<off_t>(bytes.size()));
     if (size < 0 && errno == EINTR) continue;
     if (size <= 0) return bytes;
-    bytes.append(part.data(), static_cast<std::size_t>(size));
+    bytes.append(chunk.data(), static_cast<std::size_t>(size));
   }
 }
 
@@ -57,14 +57,14 @@
 
 void CallEndsWriter::add(const CallRecord& record) { unwritten_ += encode(record); }
 
-// A part of a record that the file took stays; the next try goes on behind it.
+// After a partial write, the next try continues behind the bytes that were written.
 bool CallEndsWriter::flush(int file) {
   while (!unwritten_.empty()) {
-    if (::lseek(file, size_, SEEK_SET) != size_) return false;
+    if (::lseek(file, file_size_, SEEK_SET) != file_size_) return false;
     const ssize_t size = ::write(file, unwritten_.data(), unwritten_.size());
     if (size < 0 && errno == EINTR) continue;
     if (size <= 0) return false;
-    size_ += size;
+    file_size_ += size;
     unwritten_.erase(0, static_cast<std::size_t>(size));
   }
   return true;
@@ -72,14 +72,14 @@
 
 std::vector<CallRecord> CallEndsReader::read(int file) {
   std::vector<CallRecord> records;
-  const std::string bytes = read_from(file, read_);
+  const std::string bytes = read_tail(file, read_offset_);
   RecordReader in(bytes);
   for (std::size_t left = bytes.size(); left > 0;) {
     const auto payload = in.record();
     if (!payload) break;
     const std::size_t size = kRecordHeaderBytes + payload->size();
     left -= size;
-    read_ += static_cast<off_t>(size);
+    read_offset_ += static_cast<off_t>(size);
     if (auto record = decode(*payload)) records.push_back(std::move(*record));
   }
   return records;
--- a/relay/call_ends.h
+++ b/relay/call_ends.h
@@ -1,17 +1,18 @@
-// What became of the calls that a process still had out when it gave over, kept in that process's own file
-// `calls-*` (see CallOwners). A link between two processes may break, and a process in the middle of a chain
-// may die: the file is there for each successor, however many hand-overs lie between.
+// File in which a process records the results of the calls that were still in flight when it handed over (the
+// file `calls-*`, see CallOwners). The file serves every later successor, even if the link between two
+// processes breaks or a process in between dies.
 //
-// The file is empty until its owner gives over. From then on it holds records, each with its length and a
-// checksum, in the order in which things happened:
+// The file is empty until its owner hands over. From then on it holds records, each with its length and a
+// checksum, in chronological order:
 //
-//   outcome   of one message of a call; the call may go on for others
-//   over      the call's connection is closed, or its whole answer has come
-//   closed    the last one: no connection of the owner carries a call any more
+//   outcome   result of one message of a call; the call may continue for other messages
+//   ended     the call's connection is closed, or its response is complete
+//   closed    last record: no connection of the owner carries a call any more
 //
-// Only the owner writes, only behind what is whole, and never changes what it has written. A reader may find
-// the last record torn, of an owner that is just writing or whose write failed: it reads that one again at
-// its next look. The same record may be told by a link too, before or after: what takes it up must not mind.
+// Only the owner writes. It appends behind the last complete record and never changes earlier ones. A reader
+// may find the last record incomplete, because the owner is still writing or its write failed, and reads it
+// again at its next poll. The link may report the same record too, earlier or later, so handling a record
+// must be idempotent.
 #pragma once
 
 #include <sys/types.h>
@@ -27,19 +28,19 @@
 namespace myrtlegrade {
 
 struct CallRecord {
-  enum class Kind : std::uint8_t { outcome = 1, over, closed };
+  enum class Kind : std::uint8_t { outcome = 1, ended, closed };
   Kind kind = Kind::closed;
-  std::uint64_t call = 0;     // outcome, over: its number at the owner
+  std::uint64_t call = 0;     // outcome, ended: the owner's number of the call
   std::string message;        // outcome
   std::uint32_t attempt = 0;  // outcome
   CallResult result{};        // outcome
-  CallEnd end{};              // over
+  CallEnd end{};              // ended
 
   static CallRecord of_outcome(std::uint64_t call, std::string message, std::uint32_t attempt,
                                const CallResult& result) {
     return {Kind::outcome, call, std::move(message), attempt, result, {}};
   }
-  static CallRecord of_over(std::uint64_t call, CallEnd end) { return {Kind::over, call, {}, 0, {}, end}; }
+  static CallRecord of_ended(std::uint64_t call, CallEnd end) { return {Kind::ended, call, {}, 0, {}, end}; }
   static CallRecord all_closed() { return {Kind::closed, 0, {}, 0, {}, {}}; }
 };
 
@@ -47,22 +48,22 @@
  public:
   void add(const CallRecord& record);
 
-  // False: the file does not take it now. To be tried again; nothing is lost.
+  // Writes the pending records. Returns false if the file rejects them; they remain pending for the next try.
   bool flush(int file);
   bool written() const { return unwritten_.empty(); }
 
  private:
   std::string unwritten_;
-  off_t size_ = 0;  // of what the file has
+  off_t file_size_ = 0;
 };
 
 class CallEndsReader {
  public:
-  // What was added since the last time.
+  // Returns the records that were added since the last call.
   std::vector<CallRecord> read(int file);
 
  private:
-  off_t read_ = 0;  // up to here the records were whole
+  off_t read_offset_ = 0;  // end of the last complete record
 };
 
 }  // namespace myrtlegrade
--- a/relay/call_owners.cpp
+++ b/relay/call_owners.cpp
@@ -21,7 +21,8 @@
 namespace {
 
 constexpr std::string_view kPrefix = "calls-";
-constexpr auto kLookEvery = 20ms;
+constexpr auto kPollInterval = 20ms;
+
 std::string draw_name() {
   std::random_device device;
   char text[2 * 8 + 1];
@@ -39,18 +40,18 @@
   if (file_ >= 0) remove_file();
 }
 
-CallOwners::Earlier::~Earlier() {
+CallOwners::Predecessor::~Predecessor() {
   if (file >= 0) ::close(file);
 }
 
 void CallOwners::start() {
   started_ = Clock::now();
-  if (name_.empty()) claim();
-  found_ = find_earlier();
-  look_after({});
+  if (name_.empty()) create_file();
+  folder_read_ = find_predecessors();
+  schedule_poll({});
 }
 
-void CallOwners::claim() {
+void CallOwners::create_file() {
   const std::string name = draw_name();
   const int file = ::open(path(name).c_str(), O_RDWR | O_CREAT | O_EXCL | O_CLOEXEC, 0600);
   if (file < 0) return;
@@ -62,23 +63,23 @@
   name_ = name;
 }
 
-void CallOwners::tell(const CallRecord& record) {
+void CallOwners::append(const CallRecord& record) {
   if (file_ < 0) return;
   ends_.add(record);
-  if (!ends_.flush(file_) && !looking_) look_after(kLookEvery);
+  if (!ends_.flush(file_) && !poll_scheduled_) schedule_poll(kPollInterval);
 }
 
 void CallOwners::release() {
   if (file_ < 0 || std::exchange(released_, true)) return;
-  if (given_over_) ends_.add(CallRecord::all_closed());
-  if (!let_go() && !looking_) look_after(kLookEvery);
+  if (handed_over_) ends_.add(CallRecord::all_closed());
+  if (!finish_release() && !poll_scheduled_) schedule_poll(kPollInterval);
 }
 
-// False: the file does not take what it has to say.
-bool CallOwners::let_go() {
+// Returns false if the pending records can't be written.
+bool CallOwners::finish_release() {
   if (file_ < 0) return true;
   if (!ends_.flush(file_)) return false;
-  if (!given_over_) {
+  if (!handed_over_) {
     remove_file();
   } else {
     ::close(std::exchange(file_, -1));
@@ -91,8 +92,8 @@
   ::close(std::exchange(file_, -1));
 }
 
-// False: the folder can't be read now.
-bool CallOwners::find_earlier() {
+// Returns false if the folder can't be read.
+bool CallOwners::find_predecessors() {
   std::error_code error;
   std::vector<std::string> names;
   for (std::filesystem::directory_iterator at(folder_, error), end; !error && at != end;
@@ -101,88 +102,89 @@
     if (name.starts_with(kPrefix) && name != name_) names.push_back(std::move(name));
   }
   if (error) return false;
-  for (const std::string& name : names) add_earlier(name);
+  for (const std::string& name : names) add_predecessor(name);
   return true;
 }
 
-void CallOwners::add_earlier(const std::string& name) {
-  Earlier& earlier = earlier_.try_emplace(name).first->second;
-  if (earlier.file < 0) earlier.file = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
+void CallOwners::add_predecessor(const std::string& name) {
+  Predecessor& predecessor = predecessors_.try_emplace(name).first->second;
+  if (predecessor.file < 0) predecessor.file = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
 }
 
-// As long as that can't be known, it is locked. Several processes may look at once: their locks are shared.
-CallOwners::FileState CallOwners::state_of(const std::string& name, Earlier& earlier) const {
-  if (earlier.file < 0) earlier.file = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
-  if (earlier.file < 0) return errno == ENOENT ? FileState::removed : FileState::locked;
+// A file whose state can't be determined counts as locked. The lock for the check is shared, since several
+// processes may poll at once.
+CallOwners::FileState CallOwners::state_of(const std::string& name, Predecessor& predecessor) const {
+  if (predecessor.file < 0) predecessor.file = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
+  if (predecessor.file < 0) return errno == ENOENT ? FileState::removed : FileState::locked;
   struct stat found {};
-  if (::fstat(earlier.file, &found) == 0 && found.st_nlink == 0) return FileState::removed;
-  if (::flock(earlier.file, LOCK_SH | LOCK_NB) != 0) return FileState::locked;
-  ::flock(earlier.file, LOCK_UN);
+  if (::fstat(predecessor.file, &found) == 0 && found.st_nlink == 0) return FileState::removed;
+  if (::flock(predecessor.file, LOCK_SH | LOCK_NB) != 0) return FileState::locked;
+  ::flock(predecessor.file, LOCK_UN);
   return FileState::unlocked;
 }
 
-// The state comes first: what its owner had to say by then is in the file that is read after it.
-bool CallOwners::is_gone(const std::string& name, Earlier& earlier, Told& told) const {
-  const FileState state = state_of(name, earlier);
+// The state is read before the records, so that all records written up to that state are seen.
+bool CallOwners::is_gone(const std::string& name, Predecessor& predecessor, OwnedRecords& records) const {
+  const FileState state = state_of(name, predecessor);
   bool closed = state == FileState::removed;
-  if (earlier.file >= 0) {
-    for (CallRecord& record : earlier.ends.read(earlier.file)) {
+  if (predecessor.file >= 0) {
+    for (CallRecord& record : predecessor.ends.read(predecessor.file)) {
       if (record.kind == CallRecord::Kind::closed) {
         closed = true;
       } else {
-        told.emplace_back(name, std::move(record));
+        records.emplace_back(name, std::move(record));
       }
     }
   }
-  if (state == FileState::locked) earlier.free_since.reset();
+  if (state == FileState::locked) predecessor.unlocked_since.reset();
   if (closed || state == FileState::locked) return closed;
   const auto now = Clock::now();
-  if (!earlier.free_since) earlier.free_since = now;
-  return now - *earlier.free_since >= kLongestHoldUp;
+  if (!predecessor.unlocked_since) predecessor.unlocked_since = now;
+  return now - *predecessor.unlocked_since >= kMaxStall;
 }
 
-CallOwners::Life CallOwners::life_of(const std::string& name) const {
-  Earlier looked;
-  Told told;
-  const FileState state = state_of(name, looked);
-  if (state == FileState::locked) return Life::lives;
-  return is_gone(name, looked, told) ? Life::released : Life::dead;
+CallOwners::Liveness CallOwners::liveness_of(const std::string& name) const {
+  Predecessor predecessor;
+  OwnedRecords records;
+  const FileState state = state_of(name, predecessor);
+  if (state == FileState::locked) return Liveness::alive;
+  return is_gone(name, predecessor, records) ? Liveness::released : Liveness::dead;
 }
 
 void CallOwners::expect(const std::string& name) {
-  add_earlier(name);
-  if (started_ != Clock::time_point{} && !looking_) look_after(kLookEvery);
+  add_predecessor(name);
+  if (started_ != Clock::time_point{} && !poll_scheduled_) schedule_poll(kPollInterval);
 }
 
-void CallOwners::look_after(Clock::duration pause) {
-  looking_ = true;
-  timer_.expires_after(pause);
+void CallOwners::schedule_poll(Clock::duration delay) {
+  poll_scheduled_ = true;
+  timer_.expires_after(delay);
   timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) look();
+    if (!error) poll();
   });
 }
 
-void CallOwners::look() {
-  looking_ = false;
-  if (name_.empty()) claim();
-  if (!found_) found_ = find_earlier();
-  const bool written = released_ ? let_go() : file_ < 0 || ends_.flush(file_);
-  Told told;
+void CallOwners::poll() {
+  poll_scheduled_ = false;
+  if (name_.empty()) create_file();
+  if (!folder_read_) folder_read_ = find_predecessors();
+  const bool written = released_ ? finish_release() : file_ < 0 || ends_.flush(file_);
+  OwnedRecords records;
   std::vector<std::string> gone;
-  for (auto& [name, earlier] : earlier_) {
-    if (is_gone(name, earlier, told)) gone.push_back(name);
+  for (auto& [name, predecessor] : predecessors_) {
+    if (is_gone(name, predecessor, records)) gone.push_back(name);
   }
-  for (const auto& [name, record] : told) events_.told(name, record);
+  for (const auto& [name, record] : records) events_.on_record(name, record);
   for (const std::string& name : gone) {
-    earlier_.erase(name);
-    if (!given_over_) ::unlink(path(name).c_str());
-    events_.gone(name);
+    predecessors_.erase(name);
+    if (!handed_over_) ::unlink(path(name).c_str());
+    events_.on_gone(name);
   }
-  // Also one without a file, of an earlier program, may have died just now.
-  const bool none_left = found_ && earlier_.empty() && Clock::now() - started_ >= kLongestHoldUp;
-  if (none_left) events_.none_left();
+  // A process of an older version of the program, which has no file, may have died just before the start.
+  const bool none_left = folder_read_ && predecessors_.empty() && Clock::now() - started_ >= kMaxStall;
+  if (none_left) events_.on_none_left();
   if (none_left && written && !name_.empty()) return;
-  look_after(kLookEvery);
+  schedule_poll(kPollInterval);
 }
 
 }  // namespace myrtlegrade
--- a/relay/call_owners.h
+++ b/relay/call_owners.h
@@ -1,21 +1,23 @@
-// Which earlier processes of this relay may still have calls out. Each process that calls endpoints holds an
-// exclusive lock on a file of its own in the folder that lasts; the kernel frees it however the process ends.
-// A process that took over, or was started anew, so learns of earlier ones that live, are stopped, or that
-// nobody else can tell of any more.
+// Tracks the earlier processes of this relay that may still have calls in flight. Each process that makes
+// calls holds an exclusive lock on a file of its own in the state folder; the kernel releases the lock
+// however the process ends. A process that took over or was restarted thus learns of predecessors that run,
+// are stopped, or have left no other trace.
 //
-//   state of the file       what it proves of that process's connections
-//   -----------------       --------------------------------------------
+//   state of the file       what it proves about that process's connections
+//   -----------------       -----------------------------------------------
 //   locked                  nothing: they may be open
-//   not locked              the process has ended or is ending: they are closed within kLongestHoldUp
-//   not locked, and says    they were closed before that was written
-//   that all is closed
-//   removed                 they were closed before: by its owner's release(), or whoever removed it has
-//                           waited until its owner was gone
+//   not locked              the process has ended or is ending: they are closed within kMaxStall
+//   not locked, and ends    they were closed before that record was written
+//   with `closed`
+//   removed                 they were closed before: the owner removed the file in release(), or another
+//   process
+//                           removed it after the owner was gone
 //
-// After its hand-over a process also writes into its file what becomes of the calls that it still has out
-// (see CallEnds). That is read here at each look, and always to the end before its owner counts as gone. So a
-// process that has given over leaves its file in place, and only the relay, which has read it, removes it.
-// Whoever looks keeps the file open: it can be read to the end when it is removed meanwhile.
+// After its handover a process also records in its file how the calls end that are still in flight (see
+// call_ends.h). Each poll reads these records, always to the end before the owner counts as gone. A process
+// that has handed over therefore leaves its file in place, and only the active process, which has read it,
+// removes it. Every process that polls a file keeps it open, so that it can read the file to the end after
+// its removal.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -35,16 +37,18 @@
 
 class CallOwners {
  public:
-  // The kernel frees the lock and closes the connections of a process that ends one after the other, and a
-  // process may be held up for so long at any point (STANDING.md).
-  static constexpr auto kLongestHoldUp = budgets::kHoldUp;
+  // Longest time between the release of the lock and the close of the last connection of a process that ends:
+  // the kernel does one after the other, and a process may be paused for this long at any point.
+  static constexpr auto kMaxStall = budgets::kHoldUp;
 
   struct Events {
-    // What an earlier process says of its calls: from the start of its file on, also what a link has told.
-    std::function<void(const std::string& name, const CallRecord& record)> told;
-    std::function<void(const std::string& name)>
-        gone;                         // once for each earlier process: its connections are closed
-    std::function<void()> none_left;  // once: all that were there at the start are gone
+    // A record of an earlier process, from the start of its file on; includes records that the link has
+    // reported.
+    std::function<void(const std::string& name, const CallRecord& record)> on_record;
+    // Once for each earlier process: its connections are closed.
+    std::function<void(const std::string& name)> on_gone;
+    // Once: all processes that were found at the start are gone.
+    std::function<void()> on_none_left;
   };
 
   CallOwners(boost::asio::any_io_executor executor, std::string folder, Events events);
@@ -52,58 +56,58 @@
   CallOwners(const CallOwners&) = delete;
   CallOwners& operator=(const CallOwners&) = delete;
 
-  // To be called while this process holds the folder's lock: its own file is made, and the earlier ones' are
-  // looked at from now on. A folder that fails is tried again.
+  // Creates this process's file and begins to poll those of earlier processes. To be called while this
+  // process holds the folder's state lock. Retries if the folder fails.
   void start();
 
-  // Of this process; empty as long as the folder does not take its file.
+  // Returns the name of this process's file; empty until the folder accepts it.
   const std::string& name() const { return name_; }
 
-  // This process has given over: from here on its successors read what is told here, and files of earlier
-  // processes are theirs to remove.
-  void give_over() { given_over_ = true; }
-  // Of a call that this process has out. Where its file does not take it now, it is tried again.
-  void tell(const CallRecord& record);
+  // Notes that this process has handed over: successors read the records that it appends from here on, and
+  // remove the files of earlier processes.
+  void mark_handed_over() { handed_over_ = true; }
+  // Appends a record about a call that this process has in flight. Retries if the write fails.
+  void append(const CallRecord& record);
 
-  // Whether a process lives; one that has no call out any more may have ended or not.
-  enum class Life { lives, released, dead };
-  Life life_of(const std::string& name) const;
+  // State of a process; a released one has no call in flight and may or may not have ended.
+  enum class Liveness { alive, released, dead };
+  Liveness liveness_of(const std::string& name) const;
 
-  // Whether its file has all that was told here.
+  // Returns whether the file has all appended records.
   bool written() const { return file_ < 0 || ends_.written(); }
 
-  // No connection of this process carries a call any more, and none will.
+  // Declares that no connection of this process carries a call any more, and none will.
   void release();
 
-  // One that others speak of: it is gone too if the folder does not know it. That is never told before this
-  // returns.
+  // Tracks a process that another process has named. If the folder has no file of it, it is reported as gone,
+  // though never before this function returns.
   void expect(const std::string& name);
 
  private:
   using Clock = std::chrono::steady_clock;
 
-  void claim();
-  bool find_earlier();
-  struct Earlier {
-    Earlier() = default;
-    ~Earlier();
-    Earlier(const Earlier&) = delete;
-    Earlier& operator=(const Earlier&) = delete;
+  void create_file();
+  bool find_predecessors();
+  struct Predecessor {
+    Predecessor() = default;
+    ~Predecessor();
+    Predecessor(const Predecessor&) = delete;
+    Predecessor& operator=(const Predecessor&) = delete;
 
     int file = -1;
-    std::optional<Clock::time_point> free_since;  // its lock
+    std::optional<Clock::time_point> unlocked_since;
     CallEndsReader ends;
   };
-  using Told = std::vector<std::pair<std::string, CallRecord>>;
+  using OwnedRecords = std::vector<std::pair<std::string, CallRecord>>;  // with their owners' names
 
-  void add_earlier(const std::string& name);
+  void add_predecessor(const std::string& name);
   enum class FileState { locked, unlocked, removed };
-  FileState state_of(const std::string& name, Earlier& earlier) const;
-  bool is_gone(const std::string& name, Earlier& earlier, Told& told) const;
-  bool let_go();
+  FileState state_of(const std::string& name, Predecessor& predecessor) const;
+  bool is_gone(const std::string& name, Predecessor& predecessor, OwnedRecords& records) const;
+  bool finish_release();
   void remove_file();
-  void look();
-  void look_after(Clock::duration pause);
+  void poll();
+  void schedule_poll(Clock::duration delay);
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
 
   std::string folder_;
@@ -112,12 +116,12 @@
   std::string name_;
   int file_ = -1;
   CallEndsWriter ends_;
-  bool given_over_ = false;
+  bool handed_over_ = false;
   bool released_ = false;
-  bool looking_ = false;  // the timer runs
-  bool found_ = false;    // the folder has been read
+  bool poll_scheduled_ = false;
+  bool folder_read_ = false;
   Clock::time_point started_{};
-  std::map<std::string, Earlier> earlier_;
+  std::map<std::string, Predecessor> predecessors_;
 };
 
 }  // namespace myrtlegrade
--- a/relay/copy_net.cpp
+++ b/relay/copy_net.cpp
@@ -14,8 +14,8 @@
 
 #include "copies_log.h"
 #include "coroutine.h"
-#include "moment.h"
 #include "stream_io.h"
+#include "timestamp.h"
 
 namespace myrtlegrade {
 
--- a/relay/ended_messages.cpp
+++ b/relay/ended_messages.cpp
@@ -28,11 +28,11 @@
   e.told = static_cast<Ended::Told>(how & 3);
   e.retry_in = std::chrono::milliseconds(how >> 2);
   e.content = in.number();
-  e.until = read_moment(in);
+  e.until = read_timestamp(in);
   return e;
 }
 
-void EndedMessages::remember(std::uint64_t id, const Ended& ended, const Moment& now) {
+void EndedMessages::remember(std::uint64_t id, const Ended& ended, const Timestamp& now) {
   while (!order_.empty() && !find(order_.front(), now)) forget_first();
   if (until(ended.until, now) <= vetchhinge::Duration{}) return;
   if (!entries_.insert_or_assign(id, ended).second) return;
@@ -40,7 +40,7 @@
   order_.push_back(id);
 }
 
-const Ended* EndedMessages::find(std::uint64_t id, const Moment& now) const {
+const Ended* EndedMessages::find(std::uint64_t id, const Timestamp& now) const {
   const auto found = entries_.find(id);
   const bool remembered = found != entries_.end() && until(found->second.until, now) > vetchhinge::Duration{};
   return remembered ? &found->second : nullptr;
--- a/relay/ended_messages.h
+++ b/relay/ended_messages.h
@@ -12,8 +12,8 @@
 #include <unordered_map>
 
 #include "budgets.h"
-#include "moment.h"
 #include "record_codec.h"
+#include "timestamp.h"
 
 namespace myrtlegrade {
 
@@ -36,7 +36,7 @@
   Told told = Told::failed;  // what the same request is answered
   std::chrono::milliseconds retry_in{};
   std::uint64_t content = 0;
-  Moment until;
+  Timestamp until;
 };
 
 RecordWriter& write(RecordWriter& out, const Ended& ended);
@@ -50,14 +50,14 @@
   static constexpr std::size_t kMost = 4096;
 
   // Forgets some of those whose time is up, too.
-  void remember(std::uint64_t id, const Ended& ended, const Moment& now);
+  void remember(std::uint64_t id, const Ended& ended, const Timestamp& now);
   // Null: not known, or not any more.
-  const Ended* find(std::uint64_t id, const Moment& now) const;
+  const Ended* find(std::uint64_t id, const Timestamp& now) const;
 
   std::size_t size() const { return entries_.size(); }
   // The newest that are still remembered, so many at most, the oldest of them first.
   template <typename Use>
-  void for_newest(std::size_t most, const Moment& now, Use use) const {
+  void for_newest(std::size_t most, const Timestamp& now, Use use) const {
     for (std::size_t n = order_.size() - std::min(most, order_.size()); n < order_.size(); ++n) {
       if (const Ended* const ended = find(order_[n], now)) use(order_[n], *ended);
     }
--- /dev/null
+++ b/relay/handover.cpp
@@ -0,0 +1,477 @@
+#include "handover.h"
+
+#include <sys/stat.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <boost/asio/as_tuple.hpp>
+#include <boost/asio/use_awaitable.hpp>
+#include <iostream>
+#include <thread>
+#include <utility>
+
+#include "coroutine.h"
+#include "stream_io.h"
+#include "system_errors.h"
+
+namespace myrtlegrade {
+
+namespace asio = boost::asio;
+using namespace std::chrono_literals;
+using SteadyClock = std::chrono::steady_clock;
+
+namespace {
+
+constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kPollInterval = 20ms;  // between looks whether another process still is the relay
+constexpr auto kHelloTimeout = 1s;    // for the other process to begin; one that is stalled says nothing
+constexpr auto kPrepareTimeout = 300ms;
+constexpr auto kLinkReconnectTimeout = 200ms;  // for one that stood by and lost its link: it comes again
+constexpr auto kHandoverTimeout = 700ms;       // of the signal to end; the drain alone needs the rest
+// For a process that has just died to let go of the clients' address, or for the system to have descriptors
+// again.
+constexpr auto kAddressTimeout = 6s;
+constexpr auto kUsageInterval = 50ms;
+constexpr auto kListenRetryInterval = 100ms;
+constexpr auto kFreeSpaceInterval = 5s;  // a change of what this relay can hold for others
+
+}  // namespace
+
+Handover::Handover(asio::any_io_executor executor, Config config, std::function<void()> done,
+                   std::function<void()> read_again)
+    : executor_(executor),
+      config_(std::move(config)),
+      on_done_(std::move(done)),
+      reread_config_(std::move(read_again)),
+      lock_(config_.state_folder),
+      poll_timer_(executor),
+      successor_acceptor_(executor),
+      listen_timer_(executor),
+      prepare_timer_(executor),
+      usage_timer_(executor),
+      free_space_timer_(executor) {
+  if (!config_.admin) return;
+  open_admin();
+  std::cerr << "myrtlegrade: second address on " << admin_->address() << std::endl;
+}
+
+// The second address is told in the configuration, so that the relay can't do without it.
+void Handover::open_admin() {
+  while (!admin_) {
+    try {
+      admin_.emplace(executor_, *config_.admin,
+                     [this](const std::string& line, const AdminServer::Reply& reply) {
+                       on_admin_request(line, reply);
+                     });
+    } catch (const boost::system::system_error& e) {
+      if (!is_temporary_error(e.code()) || SteadyClock::now() - started_ > kAddressTimeout) throw;
+      std::this_thread::sleep_for(kPollInterval);
+    }
+  }
+}
+
+void Handover::start() {
+  if (admin_) admin_->start();
+  // At once where nobody else is there: the relay serves as soon as its process runs.
+  if (!try_become_active()) spawn(executor_, run_standby());
+}
+
+void Handover::end() {
+  if (std::exchange(ending_, true)) return;
+  end_requested_at_ = SteadyClock::now();
+  if (!relay_) return on_done_();
+  if (successor_ready_) return send_prepare();
+  const bool lost_just_now = link_lost_at_ && SteadyClock::now() - *link_lost_at_ < kLinkReconnectTimeout;
+  if (!successor_ && !lost_just_now) return drain_without_successor();
+  wait_for_link();
+}
+
+// Serves on meanwhile. A link breaks by one failing call, and an upgrade must not become_active a restart by
+// that.
+void Handover::wait_for_link() {
+  waiting_for_link_ = true;
+  prepare_timer_.expires_at(
+      std::min(SteadyClock::now() + kLinkReconnectTimeout, end_requested_at_ + kHandoverTimeout));
+  prepare_timer_.async_wait([this](boost::system::error_code error) {
+    if (error || !std::exchange(waiting_for_link_, false)) return;
+    std::cerr << "myrtlegrade: the link to the new process is down, ends alone unless it comes up"
+              << std::endl;
+    drain_without_successor();
+  });
+}
+
+void Handover::send_prepare() {
+  waiting_for_link_ = false;
+  // One that is stalled must not be given what it can't carry on.
+  successor_->send(RecordWriter(HandoverFrame::prepare));
+  prepare_timer_.expires_after(kPrepareTimeout);
+  prepare_timer_.async_wait([this](boost::system::error_code error) {
+    if (error || handed_over_) return;
+    std::cerr << "myrtlegrade: the new process does not answer" << std::endl;
+    drain_without_successor();
+  });
+}
+
+void Handover::close_successor_socket() {
+  boost::system::error_code ignored;
+  successor_acceptor_.close(ignored);
+}
+
+// As long as it decides, it still gives over to a process that comes: a lost link, or an answer that takes
+// long, must not make a restart of an upgrade.
+bool Handover::can_hand_over() const { return relay_ && !handed_over_ && !relay_->closing(); }
+
+void Handover::drain_without_successor() {
+  successor_ready_ = false;
+  if (const LinkPtr link = std::exchange(successor_, nullptr)) link->close();
+  relay_->drain(
+      [this] {
+        if (fleet_) fleet_->leave();
+        on_done_();
+      },
+      end_requested_at_);
+}
+
+void Handover::reload(const Config& config) {
+  config_.discovery = config.discovery;
+  config_.read_at = config.read_at;
+  send_config_reload();
+  if (relay_ && !handed_over_) relay_->move_discovery(config.discovery);
+  if (!config_.fleet || !config.fleet) return;  // on or off, and where, is settled at the start
+  config_.fleet->settings.seeds = config.fleet->settings.seeds;
+  if (fleet_) fleet_->reseed(config.fleet->settings.seeds);
+}
+
+// The new process may have read the file before it was replaced, and not be told to read it again.
+void Handover::send_config_reload() {
+  if (successor_) successor_->send(write_config_reload({config_.read_at, config_.discovery}));
+}
+
+void Handover::on_config_reload(RecordReader& in) {
+  const auto other = read_config_reload(in);
+  if (!other || other->read_at <= config_.read_at) return;
+  config_.read_at = other->read_at;
+  if (other->discovery == config_.discovery) return;
+  config_.discovery = other->discovery;
+  if (relay_ && !handed_over_) relay_->move_discovery(config_.discovery);
+}
+
+// ------------------------------------------------------------------------------------- which one
+
+// False while another process is the relay, or the address is not free yet.
+bool Handover::try_become_active() {
+  if (!lock_.try_acquire()) return false;
+  if (!listener_) {
+    try {
+      listener_.emplace(executor_, config_.listen);
+    } catch (const boost::system::system_error& e) {
+      const bool passes = e.code() == asio::error::address_in_use || is_temporary_error(e.code());
+      if (!passes || SteadyClock::now() - started_ > kAddressTimeout) throw;
+      lock_.release();
+      return false;
+    }
+  }
+  become_active(std::nullopt);
+  return true;
+}
+
+asio::awaitable<void> Handover::run_standby() {
+  while (!relay_ && !ending_) {
+    co_await stand_by();
+    if (relay_ || ending_) co_return;
+    // The file may have been replaced since this process read it, and the other one alone was told.
+    if (try_become_active()) co_return reread_config_();
+    poll_timer_.expires_after(kPollInterval);
+    co_await poll_timer_.async_wait(kAwait);
+  }
+}
+
+void Handover::become_active(std::optional<std::string> inherited) {
+  relay_.emplace(executor_, config_, std::move(*listener_), std::move(inherited));
+  listener_.reset();
+  relay_->start();
+  std::cerr << "myrtlegrade: listening on " << relay_->address() << std::endl;
+  join_fleet();
+  spawn(executor_, listen_for_successors());
+}
+
+// What fails here is no reason not to serve; without it no process could ever take over, so it is tried
+// again.
+asio::awaitable<void> Handover::listen_for_successors() {
+  bool told = false;
+  while (!ending_ && !successor_acceptor_.is_open()) {
+    const boost::system::error_code error = open_successor_socket();
+    if (!error) break;
+    if (!std::exchange(told, true))
+      std::cerr << "myrtlegrade: no successor can take over yet: " << error.message() << std::endl;
+    listen_timer_.expires_after(kListenRetryInterval);
+    co_await listen_timer_.async_wait(kAwait);
+  }
+  if (successor_acceptor_.is_open()) spawn(executor_, accept_successors());
+}
+
+boost::system::error_code Handover::open_successor_socket() {
+  const auto place = HandoverLink::endpoint_in(config_.state_folder);
+  ::unlink(place.path().c_str());  // of a process that is no relay any more
+  boost::system::error_code error;
+  successor_acceptor_.open(place.protocol(), error);
+  if (!error) successor_acceptor_.bind(place, error);
+  if (!error) successor_acceptor_.listen(asio::socket_base::max_listen_connections, error);
+  if (!error) ::chmod(place.path().c_str(), 0600);
+  boost::system::error_code ignored;
+  if (error) successor_acceptor_.close(ignored);
+  return error;
+}
+
+// What keeps it out of the fleet is no reason not to serve.
+void Handover::join_fleet() {
+  if (!config_.fleet) return;
+  try {
+    fleet_ =
+        std::make_shared<Fleet>(executor_, *config_.fleet, config_.name, config_.state_folder, config_.seed);
+    if (relay_->copies()) start_copies();
+    fleet_->start();
+  } catch (const std::exception& e) {
+    std::cerr << "myrtlegrade: fleet: stays out: " << e.what() << std::endl;
+    fleet_ = nullptr;
+  }
+}
+
+// Whom copies may go to is who says in the view that it takes them.
+void Handover::start_copies() {
+  namespace copies = valedrum::copies;
+  namespace membership = valedrum::membership;
+  publish_free_space();
+  fleet_->on_change([this, net = relay_->copies()](const membership::Membership& members) {
+    std::vector<copies::Candidate> all;
+    const auto takes = [](const membership::Record& r) { return r.published_version == copies::kFormat; };
+    for (const membership::Record& r : members.healthy_members(takes)) {
+      const auto said = copies::decode_published(r.published);
+      if (said)
+        all.push_back({{r.name, said->storage_id, said->address}, r.machine, r.zone, said->free_eighths});
+    }
+    net->candidates(std::move(all));
+  });
+}
+
+void Handover::publish_free_space() {
+  if (!fleet_ || handed_over_) return;
+  std::string said = encode(relay_->copies()->published());
+  if (said != published_record_)
+    fleet_->publish(valedrum::copies::kFormat, published_record_ = std::move(said));
+  free_space_timer_.expires_after(kFreeSpaceInterval);
+  free_space_timer_.async_wait([this](boost::system::error_code error) {
+    if (!error) publish_free_space();
+  });
+}
+
+// --------------------------------------------------------------------------------------- standing by
+
+asio::awaitable<void> Handover::stand_by() {
+  HandoverLink::Protocol::socket socket(executor_);
+  const auto [error] = co_await socket.async_connect(HandoverLink::endpoint_in(config_.state_folder), kAwait);
+  if (error) co_return;
+  const auto link = std::make_shared<HandoverLink>(std::move(socket));
+  poll_timer_.expires_after(kHelloTimeout);
+  poll_timer_.async_wait([link](boost::system::error_code stopped) {
+    if (!stopped) link->close();
+  });
+  const auto descriptor = co_await link->receive_descriptor();
+  std::optional<std::string> hello;
+  if (descriptor) {
+    listener_.emplace(executor_);
+    listener_->assign(config_.listen.protocol(), *descriptor);
+    hello = co_await link->receive();
+  }
+  poll_timer_.cancel();
+  if (!hello || ending_) co_return;
+  RecordReader in(*hello);
+  if (in.kind<HandoverFrame>() != HandoverFrame::hello || in.number() != kHandoverVersion) {
+    std::cerr << "myrtlegrade: the old process speaks another version: waiting for its end" << std::endl;
+    co_return;
+  }
+  link->send(RecordWriter(HandoverFrame::hello).number(kHandoverVersion));
+  predecessor_ = link;
+  standing_by_ = true;
+  std::cerr << "myrtlegrade: standing by, listening on " << listener_->local_endpoint() << std::endl;
+  // Once this one is the relay, what the old process still has to tell of calls that are out.
+  for (auto frame = co_await link->receive(); frame; frame = co_await link->receive()) {
+    if (static_cast<HandoverFrame>(frame->front()) == HandoverFrame::handover) {
+      co_await take_over(frame->substr(1));
+    } else {
+      on_predecessor_frame(*frame);
+    }
+  }
+  standing_by_ = false;
+  predecessor_ = nullptr;
+  link->close();
+  if (relay_) relay_->on_predecessor_disconnected();
+  fail_forwarded_requests();
+}
+
+asio::awaitable<void> Handover::take_over(std::string inherited) {
+  // The other process has let go of it; a third one that looks in passing lets go at once.
+  while (!lock_.try_acquire()) {
+    poll_timer_.expires_after(1ms);
+    co_await poll_timer_.async_wait(kAwait);
+  }
+  become_active(std::move(inherited));
+  std::cerr << "myrtlegrade: took over" << std::endl;
+  if (relay_->knows_predecessor_calls() && predecessor_)
+    predecessor_->send(RecordWriter(HandoverFrame::took_over).text(relay_->owner_name()));
+}
+
+void Handover::on_predecessor_frame(const std::string& frame) {
+  RecordReader in(frame);
+  const auto kind = in.kind<HandoverFrame>();
+  if (kind == HandoverFrame::prepare) {
+    predecessor_->send(RecordWriter(HandoverFrame::prepared));
+  } else if (kind == HandoverFrame::admin_reply || kind == HandoverFrame::admin_returned) {
+    on_admin_reply(in, kind == HandoverFrame::admin_returned);
+  } else if (kind == HandoverFrame::config_reloaded) {
+    on_config_reload(in);
+  } else if (!relay_) {
+    return;
+  } else if (kind == HandoverFrame::outcome) {
+    const std::string id = in.text();
+    const auto attempt = static_cast<std::uint32_t>(in.number());
+    const CallResult result = read_result(in);
+    if (in.good) relay_->on_predecessor_outcome(id, attempt, result);
+    relay_->decide_due_completions();
+  } else if (kind == HandoverFrame::call_ended) {
+    const std::uint64_t call = in.number();
+    const auto end = static_cast<CallEnd>(in.number());
+    if (in.good) relay_->on_predecessor_call_ended(call, end);
+    relay_->decide_due_completions();
+  } else if (kind == HandoverFrame::submit) {
+    const std::uint64_t token = in.number();
+    HandIn message = read_submission(in);
+    if (!in.good) return;
+    relay_->submit(std::move(message), [link = predecessor_, token](const Answer& answer) {
+      if (link) link->send(write_answer(token, answer));
+    });
+  } else if (kind == HandoverFrame::undelivered_response) {
+    relay_->withdraw(in.text());
+  } else if (kind == HandoverFrame::descriptor_usage) {
+    relay_->reserve_descriptors(in.number());
+  } else if (kind == HandoverFrame::admin_request) {
+    const std::uint64_t token = in.number();
+    on_admin_request(in.text(), [link = predecessor_, token](const std::string& reply) {
+      if (link) link->send(RecordWriter(HandoverFrame::admin_reply).number(token).text(reply));
+    });
+  }
+}
+
+// ------------------------------------------------------------------------------------ giving over
+
+asio::awaitable<void> Handover::accept_successors() {
+  while (true) {
+    auto [error, socket] = co_await accept_next(StreamUse::successors, successor_acceptor_);
+    if (!successor_acceptor_.is_open()) co_return;
+    if (error) {
+      usage_timer_.expires_after(kPollInterval);
+      co_await usage_timer_.async_wait(kAwait);
+      continue;
+    }
+    // One at a time; others try again. Nor can anybody take over what can't serve yet itself.
+    if (successor_ || (ending_ && !can_hand_over()) || !relay_->ready()) continue;
+    successor_ = std::make_shared<HandoverLink>(std::move(socket));
+    spawn(executor_, serve_successor(successor_));
+  }
+}
+
+asio::awaitable<void> Handover::serve_successor(LinkPtr link) {
+  if (link->send_descriptor(relay_->listening_descriptor())) {
+    link->send(RecordWriter(HandoverFrame::hello).number(kHandoverVersion));
+    send_config_reload();
+    for (auto frame = co_await link->receive(); frame && link == successor_;
+         frame = co_await link->receive()) {
+      on_successor_frame(*frame);
+    }
+  }
+  link->close();
+  if (successor_ != link) co_return;
+  successor_ = nullptr;
+  fail_forwarded_requests();
+  // What clients handed in may be on its disk or not: no answer would be true.
+  for (const auto& [token, respond] : std::exchange(forwarded_messages_, {}))
+    respond({Answer::Kind::failed, {}});
+  if (handed_over_) {
+    std::cerr << "myrtlegrade: the link to the new process is lost" << std::endl;
+    link_lost_at_ = SteadyClock::now();
+    watch_successor();
+  }
+  if (!std::exchange(successor_ready_, false) || handed_over_) co_return;
+  link_lost_at_ = SteadyClock::now();
+  if (ending_ && can_hand_over()) wait_for_link();  // lost between the question and its answer
+}
+
+void Handover::on_successor_frame(const std::string& frame) {
+  RecordReader in(frame);
+  const auto kind = in.kind<HandoverFrame>();
+  if (kind == HandoverFrame::hello) {
+    successor_ready_ = in.number() == kHandoverVersion;
+    if (successor_ready_ && ending_ && can_hand_over()) send_prepare();
+  } else if (kind == HandoverFrame::prepared) {
+    if (ending_ && can_hand_over() && successor_ready_) hand_over();
+  } else if (kind == HandoverFrame::took_over) {
+    successor_name_ = in.text();
+  } else if (kind == HandoverFrame::answer) {
+    const auto found = forwarded_messages_.find(in.number());
+    if (found == forwarded_messages_.end()) return;
+    const auto respond = std::move(found->second);
+    forwarded_messages_.erase(found);
+    respond(read_answer(in));
+  } else if (kind == HandoverFrame::admin_reply) {
+    on_admin_reply(in, false);
+  } else if (kind == HandoverFrame::admin_request) {
+    const std::uint64_t token = in.number();
+    const std::string line = in.text();
+    if (handed_over_) return successor_->send(RecordWriter(HandoverFrame::admin_returned).number(token));
+    on_admin_request(line, [link = successor_, token](const std::string& reply) {
+      if (link) link->send(RecordWriter(HandoverFrame::admin_reply).number(token).text(reply));
+    });
+  }
+}
+
+void Handover::hand_over() {
+  handed_over_ = true;
+  prepare_timer_.cancel();
+  close_successor_socket();
+  Relay::Successor to;
+  to.submit = [this](HandIn message, Server::Respond respond) {
+    if (!successor_) return respond({Answer::Kind::refused, {}});
+    successor_->send(write_submission(++last_token_, message));
+    forwarded_messages_.emplace(last_token_, std::move(respond));
+  };
+  to.withdraw = [this](const std::string& id) {
+    if (successor_) successor_->send(RecordWriter(HandoverFrame::undelivered_response).text(id));
+  };
+  to.outcome = [this](const std::string& id, std::uint32_t attempt, const CallResult& result) {
+    if (successor_) successor_->send(write_outcome(id, attempt, result));
+  };
+  to.call_ended = [this](std::uint64_t call, CallEnd end) {
+    if (successor_) successor_->send(write_call_ended(call, end));
+  };
+  // What the process before this one has out is told through this one.
+  to.all_reported = [this] {
+    return forwarded_messages_.empty() && (!successor_ || (successor_->sent() && !predecessor_));
+  };
+  const RecordWriter over = relay_->hand_over(std::move(to), on_done_, end_requested_at_);
+  if (fleet_) fleet_->stop();  // the new process is the same member: nothing is said of a leave
+  lock_.release();
+  successor_->send(over);
+  send_descriptor_usage();
+  std::cerr << "myrtlegrade: gave over" << std::endl;
+}
+
+void Handover::send_descriptor_usage() {
+  if (!successor_) return;
+  successor_->send(RecordWriter(HandoverFrame::descriptor_usage).number(relay_->descriptors()));
+  usage_timer_.expires_after(kUsageInterval);
+  usage_timer_.async_wait([this](boost::system::error_code error) {
+    if (!error) send_descriptor_usage();
+  });
+}
+
+}  // namespace myrtlegrade
--- a/relay/frames.cpp
+++ b/relay/handover_frames.cpp
@@ -1,4 +1,4 @@
-#include "frames.h"
+#include "handover_frames.h"
 
 #include <string>
 
@@ -16,23 +16,23 @@
   return names.name(static_cast<std::uint32_t>(host));
 }
 
-std::string text_of(const Endpoint& address) {
+std::string format_address(const Endpoint& address) {
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
 }  // namespace
 
-RecordWriter write(const Inheritance& all, const catalog::EndpointTable& list,
-                   const vetchhinge::drill::Names& hosts) {
-  RecordWriter out(Frame::over);
-  out.flag(all.leaving).number(all.descriptors).number(all.last_call).flag(all.earlier_calls_open);
-  out.number(static_cast<std::uint64_t>(all.list.version)).number(list.size());
+RecordWriter write_handover_state(const HandoverState& state, const catalog::EndpointTable& list,
+                                  const vetchhinge::drill::Names& hosts) {
+  RecordWriter out(HandoverFrame::handover);
+  out.flag(state.leaving).number(state.descriptors).number(state.last_call).flag(state.unknown_calls_open);
+  out.number(static_cast<std::uint64_t>(state.list.version)).number(list.size());
   list.for_each(0, list.slot_end(), [&](catalog::Slot, const catalog::Entry& e) {
     out.text(e.id).text(e.kind).text(e.zone).number(e.cell).flag(e.state == catalog::EndpointState::serving);
-    out.real(e.weight).text(text_of(to_endpoint(e.address)));
+    out.real(e.weight).text(format_address(to_endpoint(e.address)));
   });
-  out.number(all.learned.limit_groups.size());
-  for (const vetchhinge::LimitGroupSnapshot& l : all.learned.limit_groups) {
+  out.number(state.learned.limit_groups.size());
+  for (const vetchhinge::LimitGroupSnapshot& l : state.learned.limit_groups) {
     out.text(name_of(hosts, l.host)).number(static_cast<std::uint64_t>(l.cap)).flag(l.slow).flag(l.failing);
     out.number(static_cast<std::uint64_t>(l.failure_weight))
         .number(static_cast<std::uint64_t>(l.consecutive_rejections));
@@ -45,39 +45,39 @@
     out.number(l.latencies.size());
     for (const auto& [at, value] : l.latencies) out.time(at).real(value);
   }
-  out.number(all.learned.hosts.size());
-  for (const vetchhinge::HostSnapshot& h : all.learned.hosts) {
+  out.number(state.learned.hosts.size());
+  for (const vetchhinge::HostSnapshot& h : state.learned.hosts) {
     out.text(name_of(hosts, h.host)).flag(h.in_slow_start).flag(h.slow_start_since.has_value());
     out.time(h.slow_start_since.value_or(Time{})).number(static_cast<std::uint64_t>(h.failure_weight));
     out.time(h.retry_at).time(h.last_success).real(h.slow_start_budget);
   }
-  out.number(all.out.size());
-  for (const OutCall& c : all.out) {
-    out.text(c.owner)
-        .text(c.message)
-        .text(c.cls)
-        .number(c.destination)
-        .number(c.attempt)
-        .text(c.host)
-        .text(c.zone);
-    out.number(c.call).time(c.sent).flag(c.over);
-    out.flag(c.told.has_value());
-    if (c.told) write_result(out, *c.told);
-    out.flag(c.ended.has_value());
-    if (c.ended) out.number(static_cast<std::uint64_t>(*c.ended));
+  out.number(state.in_flight.size());
+  for (const HandedOverAttempt& a : state.in_flight) {
+    out.text(a.owner)
+        .text(a.message)
+        .text(a.cls)
+        .number(a.destination)
+        .number(a.attempt)
+        .text(a.host)
+        .text(a.zone);
+    out.number(a.call).time(a.sent_at).flag(a.message_completed);
+    out.flag(a.reported_result.has_value());
+    if (a.reported_result) write_result(out, *a.reported_result);
+    out.flag(a.call_end.has_value());
+    if (a.call_end) out.number(static_cast<std::uint64_t>(*a.call_end));
   }
   return out;
 }
 
-std::optional<Inheritance> read_inheritance(RecordReader& in, vetchhinge::drill::Names& hosts) {
-  Inheritance all;
+std::optional<HandoverState> read_handover_state(RecordReader& in, vetchhinge::drill::Names& hosts) {
+  HandoverState state;
   const auto host = [&] { return HostId(hosts.number(in.text())); };
-  const auto whole = [&] { return static_cast<int>(in.number()); };
-  all.leaving = in.flag();
-  all.descriptors = in.number();
-  all.last_call = in.number();
-  all.earlier_calls_open = in.flag();
-  all.list.version = static_cast<std::int64_t>(in.number());
+  const auto integer = [&] { return static_cast<int>(in.number()); };
+  state.leaving = in.flag();
+  state.descriptors = in.number();
+  state.last_call = in.number();
+  state.unknown_calls_open = in.flag();
+  state.list.version = static_cast<std::int64_t>(in.number());
   for (std::size_t n = in.count(); n > 0 && in.good; --n) {
     const std::string id = in.text(), kind = in.text(), zone = in.text();
     catalog::Entry e;
@@ -90,16 +90,16 @@
     const auto address = catalog::parse_address(in.text());
     if (!in.good || !address) return std::nullopt;
     e.address = *address;
-    all.list.entries.put(e);
+    state.list.entries.put(e);
   }
   for (std::size_t n = in.count(); n > 0 && in.good; --n) {
-    auto& l = all.learned.limit_groups.emplace_back();
+    auto& l = state.learned.limit_groups.emplace_back();
     l.host = host();
-    l.cap = whole();
+    l.cap = integer();
     l.slow = in.flag();
     l.failing = in.flag();
-    l.failure_weight = whole();
-    l.consecutive_rejections = whole();
+    l.failure_weight = integer();
+    l.consecutive_rejections = integer();
     l.rejected_since = in.time<Time>();
     l.server_backoff_until = in.time<Time>();
     l.local_backoff_until = in.time<Time>();
@@ -115,38 +115,38 @@
     }
   }
   for (std::size_t n = in.count(); n > 0 && in.good; --n) {
-    auto& h = all.learned.hosts.emplace_back();
+    auto& h = state.learned.hosts.emplace_back();
     h.host = host();
     h.in_slow_start = in.flag();
-    const bool warming = in.flag();
+    const bool slow_start = in.flag();
     const Time since = in.time<Time>();
-    if (warming) h.slow_start_since = since;
-    h.failure_weight = whole();
+    if (slow_start) h.slow_start_since = since;
+    h.failure_weight = integer();
     h.retry_at = in.time<Time>();
     h.last_success = in.time<Time>();
     h.slow_start_budget = in.real();
   }
   for (std::size_t n = in.count(); n > 0 && in.good; --n) {
-    OutCall& c = all.out.emplace_back();
-    c.owner = in.text();
-    c.message = in.text();
-    c.cls = in.text();
-    c.destination = in.number();
-    c.attempt = static_cast<std::uint32_t>(in.number());
-    c.host = in.text();
-    c.zone = in.text();
-    c.call = in.number();
-    c.sent = in.time<WallTime>();
-    c.over = in.flag();
-    if (in.flag()) c.told = read_result(in);
-    if (in.flag()) c.ended = static_cast<CallEnd>(in.number());
+    HandedOverAttempt& a = state.in_flight.emplace_back();
+    a.owner = in.text();
+    a.message = in.text();
+    a.cls = in.text();
+    a.destination = in.number();
+    a.attempt = static_cast<std::uint32_t>(in.number());
+    a.host = in.text();
+    a.zone = in.text();
+    a.call = in.number();
+    a.sent_at = in.time<WallTime>();
+    a.message_completed = in.flag();
+    if (in.flag()) a.reported_result = read_result(in);
+    if (in.flag()) a.call_end = static_cast<CallEnd>(in.number());
   }
   if (!in.good) return std::nullopt;
-  return all;
+  return state;
 }
 
 RecordWriter write_outcome(const std::string& message, std::uint32_t attempt, const CallResult& r) {
-  RecordWriter out(Frame::outcome);
+  RecordWriter out(HandoverFrame::outcome);
   return write_result(out.text(message).number(attempt), r);
 }
 
@@ -164,52 +164,53 @@
   r.over = in.flag();
   r.wait = in.duration();
   r.elapsed = in.duration();
-  const bool told = in.flag();
+  const bool has_report = in.flag();
   vetchhinge::LimitReport report;
   report.share_left = in.real();
   report.calls_per_second = in.real();
-  if (told) r.report = report;
+  if (has_report) r.report = report;
   r.connection.established = in.flag();
   r.connection.idle = in.duration();
   return r;
 }
 
-RecordWriter write_call_over(std::uint64_t call, CallEnd end) {
-  RecordWriter out(Frame::call_over);
+RecordWriter write_call_ended(std::uint64_t call, CallEnd end) {
+  RecordWriter out(HandoverFrame::call_ended);
   return out.number(call).number(static_cast<std::uint64_t>(end));
 }
 
-RecordWriter write_reloaded(const Reloaded& reloaded) {
-  RecordWriter out(Frame::reloaded);
-  return out.time(steady_time(reloaded.read_at)).text(text_of(reloaded.discovery));
+RecordWriter write_config_reload(const ConfigReload& reload) {
+  RecordWriter out(HandoverFrame::config_reloaded);
+  return out.time(steady_time(reload.read_at)).text(format_address(reload.discovery));
 }
 
-std::optional<Reloaded> read_reloaded(RecordReader& in) {
+std::optional<ConfigReload> read_config_reload(RecordReader& in) {
   const Time read_at = in.time<Time>();
   const auto address = catalog::parse_address(in.text());
   if (!in.good || !address) return std::nullopt;
-  return Reloaded{std::chrono::steady_clock::time_point(read_at.time_since_epoch()), to_endpoint(*address)};
+  return ConfigReload{std::chrono::steady_clock::time_point(read_at.time_since_epoch()),
+                      to_endpoint(*address)};
 }
 
-RecordWriter write_hand_in(std::uint64_t token, const HandIn& m) {
-  RecordWriter out(Frame::hand_in);
+RecordWriter write_submission(std::uint64_t token, const HandIn& m) {
+  RecordWriter out(HandoverFrame::submit);
   out.number(token).text(m.id).text(m.cls).number(m.destination).text(m.key).text(m.body);
   return write(out, m.deadline);
 }
 
-HandIn read_hand_in(RecordReader& in) {
+HandIn read_submission(RecordReader& in) {
   HandIn m;
   m.id = in.text();
   m.cls = in.text();
   m.destination = in.number();
   m.key = in.text();
   m.body = in.text();
-  m.deadline = read_moment(in);
+  m.deadline = read_timestamp(in);
   return m;
 }
 
 RecordWriter write_answer(std::uint64_t token, const Answer& answer) {
-  RecordWriter out(Frame::answer);
+  RecordWriter out(HandoverFrame::answer);
   return out.number(token).number(static_cast<std::uint64_t>(answer.kind)).duration(answer.retry_after);
 }
 
--- a/relay/link.cpp
+++ b/relay/handover_link.cpp
@@ -1,4 +1,4 @@
-#include "link.h"
+#include "handover_link.h"
 
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -13,7 +13,7 @@
 
 namespace asio = boost::asio;
 
-Link::Protocol::endpoint Link::place(const std::string& folder) {
+HandoverLink::Protocol::endpoint HandoverLink::endpoint_in(const std::string& folder) {
   const std::string path = folder + "/successor";
   if (path.size() < sizeof(sockaddr_un::sun_path)) return {path};
   // The address of a Unix socket is short. A descriptor of the folder, kept open, stands for its path.
@@ -21,7 +21,7 @@
   return {"/proc/self/fd/" + std::to_string(descriptor) + "/successor"};
 }
 
-bool Link::send_descriptor(int descriptor) {
+bool HandoverLink::send_descriptor(int descriptor) {
   char byte = 'd';
   iovec bytes{&byte, 1};
   alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> control{};
@@ -42,7 +42,7 @@
   return sent == 1;
 }
 
-asio::awaitable<std::optional<int>> Link::receive_descriptor() {
+asio::awaitable<std::optional<int>> HandoverLink::receive_descriptor() {
   const auto [error] = co_await socket().async_wait(Protocol::socket::wait_read, kAwait);
   if (error) co_return std::nullopt;
   char byte = 0;
--- a/relay/host_client.h
+++ b/relay/host_client.h
@@ -22,7 +22,7 @@
 #include <vector>
 
 #include "host_list.h"
-#include "moment.h"
+#include "timestamp.h"
 #include "vetchhinge/policy.h"
 
 namespace myrtlegrade {
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -22,8 +22,8 @@
 #include <vector>
 
 #include "ended_messages.h"
-#include "moment.h"
 #include "recovery/disk.h"
+#include "timestamp.h"
 
 namespace myrtlegrade {
 
@@ -31,7 +31,7 @@
 struct StoredAttempt {
   std::string host;
   std::string zone;
-  Moment sent;
+  Timestamp sent;
   bool may_have_run = true;  // until its outcome proves that it did not
 };
 
@@ -42,7 +42,7 @@
   std::uint64_t destination = 0;
   std::string key;  // empty: none
   std::string body;
-  Moment deadline;
+  Timestamp deadline;
   std::vector<StoredAttempt> attempts;
 };
 
--- a/relay/journal_records.cpp
+++ b/relay/journal_records.cpp
@@ -4,13 +4,13 @@
 
 namespace myrtlegrade {
 
-RecordWriter& write(RecordWriter& out, const Moment& at) {
+RecordWriter& write(RecordWriter& out, const Timestamp& at) {
   return out.time(at.wall).number(at.boot).time(at.steady);
 }
 
 // Older versions wrote only the wall-clock time.
-Moment read_moment(RecordReader& in) {
-  Moment at{in.time<WallTime>(), 0, {}};
+Timestamp read_timestamp(RecordReader& in) {
+  Timestamp at{in.time<WallTime>(), 0, {}};
   if (in.empty()) return at;
   at.boot = in.number();
   at.steady = in.time<vetchhinge::Time>();
@@ -48,14 +48,14 @@
   r.id = in.text();
   switch (r.kind) {
     case RecordKind::accept:
-      r.message = {r.id, in.text(), in.number(), in.text(), in.text(), read_moment(in), {}};
+      r.message = {r.id, in.text(), in.number(), in.text(), in.text(), read_timestamp(in), {}};
       break;
     case RecordKind::attempt:
-      r.attempt = {in.text(), in.text(), read_moment(in)};
+      r.attempt = {in.text(), in.text(), read_timestamp(in)};
       break;
     case RecordKind::numbered_attempt:
       r.number = in.number();
-      r.attempt = {in.text(), in.text(), read_moment(in)};
+      r.attempt = {in.text(), in.text(), read_timestamp(in)};
       if (r.number >= kMaxAttempts) return std::nullopt;
       break;
     case RecordKind::never_ran:
--- a/relay/journal_records.h
+++ b/relay/journal_records.h
@@ -18,8 +18,8 @@
 namespace myrtlegrade {
 
 // A timestamp is always the last field of its record.
-RecordWriter& write(RecordWriter& out, const Moment& at);
-Moment read_moment(RecordReader& in);
+RecordWriter& write(RecordWriter& out, const Timestamp& at);
+Timestamp read_timestamp(RecordReader& in);
 
 // Kinds of records. Their numbers are part of the file format, and `myrtlegrade journal stats` prints their
 // names. `end` is written by Journal::complete(), `end_owing` by complete_with_notice(), `ban` and `lift` by
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -10,20 +10,20 @@
 
 #include "commands.h"
 #include "config.h"
-#include "succession.h"
+#include "handover.h"
 
 namespace {
 
 // Reloads the configuration. A running relay must survive an unusable file: it keeps its configuration and
 // logs the error. The file is read on another thread, because reading a long one would block the event loop.
 void reload(boost::asio::thread_pool& reader_thread, boost::asio::io_context& context,
-            myrtlegrade::Succession& succession) {
-  boost::asio::post(reader_thread, [&context, &succession] {
+            myrtlegrade::Handover& handover) {
+  boost::asio::post(reader_thread, [&context, &handover] {
     try {
       const myrtlegrade::Config config =
           myrtlegrade::load_config(myrtlegrade::ConfigReader::KnownHosts::skip);
-      boost::asio::post(context, [&succession, config] {
-        succession.reload(config);
+      boost::asio::post(context, [&handover, config] {
+        handover.reload(config);
         std::cerr << "myrtlegrade: configuration reloaded, discovery at " << config.discovery << std::endl;
       });
     } catch (const std::exception& e) {
@@ -40,21 +40,21 @@
     boost::asio::signal_set stop_signals(context, SIGTERM, SIGINT);
     boost::asio::signal_set reload_signals(context, SIGHUP);
     boost::asio::thread_pool reader_thread(1);
-    myrtlegrade::Succession succession(
+    myrtlegrade::Handover handover(
         context.get_executor(), myrtlegrade::load_config(), [&] { context.stop(); },
-        [&] { reload(reader_thread, context, succession); });
+        [&] { reload(reader_thread, context, handover); });
     stop_signals.async_wait([&](boost::system::error_code error, int) {
-      if (!error) succession.end();
+      if (!error) handover.end();
     });
     std::function<void()> await_reload_signal = [&] {
       reload_signals.async_wait([&](boost::system::error_code error, int) {
         if (error) return;
-        reload(reader_thread, context, succession);
+        reload(reader_thread, context, handover);
         await_reload_signal();
       });
     };
     await_reload_signal();
-    succession.start();
+    handover.start();
     context.run();
   } catch (const std::exception& e) {
     std::cerr << "myrtlegrade: " << e.what() << '\n';
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -50,17 +50,17 @@
       journal_(config_.state_folder, config_.journal_disk_bytes, config_.durability),
       sender_(config_.settings),
       owners_(executor, config_.state_folder,
-              {.told =
+              {.on_record =
                    [this](const std::string& owner, const CallRecord& record) {
                      on_call_record(owner, record);
                      decide_due_completions();
                    },
-               .gone =
+               .on_gone =
                    [this](const std::string& owner) {
                      on_owner_exited(owner);
                      decide_due_completions();
                    },
-               .none_left = [this] { on_all_owners_exited(); }}),
+               .on_none_left = [this] { on_all_owners_exited(); }}),
       host_client_(
           executor,
           {.connect_timeout = config_.connect_timeout,
@@ -100,7 +100,7 @@
   create_copies();
   if (!inherited) return;
   RecordReader in(*inherited);
-  inheritance_ = read_inheritance(in, config_.dialect.hosts);
+  inheritance_ = read_handover_state(in, config_.dialect.hosts);
   if (!inheritance_) std::cerr << "myrtlegrade: what the old process knew can't be read" << std::endl;
 }
 
@@ -193,7 +193,7 @@
   if (result.result == Result::delivered && open.completed) record_late_delivery(open);
   if (successor_) {
     if (attempt && !attempt->at_predecessor)
-      owners_.tell(CallRecord::of_outcome(attempt->call, open.payload->id, item.attempt, result));
+      owners_.append(CallRecord::of_outcome(attempt->call, open.payload->id, item.attempt, result));
     return successor_->outcome(open.payload->id, item.attempt, result);
   }
   Outcome outcome;
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -22,7 +22,7 @@
 #include "discovery.h"
 #include "endpoints.h"
 #include "event_log.h"
-#include "frames.h"
+#include "handover_frames.h"
 #include "host_client.h"
 #include "journal.h"
 #include "server.h"
@@ -86,7 +86,7 @@
   // Returns the name of this process among CallOwners; empty where no other process can read its call
   // records.
   const std::string& owner_name() const { return owners_.name(); }
-  CallOwners::Life owner_state(const std::string& owner) const { return owners_.life_of(owner); }
+  CallOwners::Liveness owner_state(const std::string& owner) const { return owners_.liveness_of(owner); }
   // True if this process knows all calls that its predecessor had in flight at the handover.
   bool knows_predecessor_calls() const { return knows_predecessor_calls_; }
 
@@ -111,7 +111,7 @@
     std::uint32_t attempt = 0;
     vetchhinge::HostId host{};
     std::uint64_t call = 0;
-    Moment sent_at{};
+    Timestamp sent_at{};
     bool at_predecessor = false;
     bool reported = false;  // the module has its outcome
     // Only of an attempt at a predecessor: its outcome, reported once the call has ended.
@@ -121,7 +121,7 @@
   // A call that has not ended.
   struct CallInFlight {
     vetchhinge::HostId host{};
-    Moment started_at{};
+    Timestamp started_at{};
     std::string owner;  // the predecessor that made it; empty: this process
     std::vector<vetchhinge::MessageId> messages;
     bool at_predecessor = false;
@@ -137,7 +137,7 @@
     std::shared_ptr<const Payload> payload;
     std::string cls;
     std::uint64_t destination = 0;
-    Moment deadline;
+    Timestamp deadline;
     Server::Respond respond;      // set until the client has its answer
     std::uint32_t listeners = 1;  // connections that submitted it and may get the answer
     std::uint32_t attempts = 0;
@@ -164,7 +164,7 @@
   Ended completion_record(const OpenMessage& open, Ended::Told told,
                           std::chrono::milliseconds retry_in = {}) const;
   void complete_withdrawn(const OpenMessage& open);
-  Moment deadline_of(const HandIn& message) const;
+  Timestamp deadline_of(const HandIn& message) const;
   void record_late_delivery(const OpenMessage& over);
   struct DecidedCall {
     std::uint64_t number = 0;
@@ -177,12 +177,12 @@
   bool on_list(valedrum::catalog::ListReader& list, bool first);
   void compact_list();
   void on_watch_lost(std::chrono::steady_clock::duration silent, std::chrono::milliseconds again);
-  void restore_message(const StoredMessage& stored, const OutCall* out,
+  void restore_message(const StoredMessage& stored, const HandedOverAttempt* out,
                        const std::vector<bool>& orphaned = {});
-  void restore_call_in_flight(const OutCall& out);
-  vetchhinge::PastAttempt restore_attempt_in_flight(OpenMessage& open, const OutCall& out,
+  void restore_call_in_flight(const HandedOverAttempt& out);
+  vetchhinge::PastAttempt restore_attempt_in_flight(OpenMessage& open, const HandedOverAttempt& out,
                                                     vetchhinge::Time sent);
-  std::vector<OutCall> calls_in_flight() const;
+  std::vector<HandedOverAttempt> calls_in_flight() const;
   AttemptInFlight* find_attempt(OpenMessage& open, std::uint32_t attempt);
   void on_call_ended(std::uint64_t call, CallEnd end);
   // Reports a call that was decided, and is not sent, as such.
@@ -193,8 +193,8 @@
   void on_owner_exited(const std::string& owner);
   void on_all_owners_exited();
   bool cut_calls();
-  void log_handover(const std::vector<OutCall>& calls);
-  void log_inherited(const std::vector<OutCall>& calls);
+  void log_handover(const std::vector<HandedOverAttempt>& calls);
+  void log_inherited(const std::vector<HandedOverAttempt>& calls);
   void log_retry(const OpenMessage& open, const AttemptInFlight& attempt);
   void log_recorded_call_end(const std::string& owner, const CallRecord& record);
   void log_call_end(std::uint64_t number, const CallInFlight& call, CallEnd end);
@@ -244,7 +244,7 @@
   // A message found in the journal while it is not known yet whether this relay still owns it.
   struct UnconfirmedMessage {
     StoredMessage stored;
-    std::optional<OutCall> predecessor_call;
+    std::optional<HandedOverAttempt> predecessor_call;
   };
   // Calls `then` once everything journaled so far survives a loss of power, where `power` is configured. The
   // argument is false if that can't be guaranteed.
@@ -275,7 +275,7 @@
   void on_unconfirmed_owner_exited(const std::string& owner);
   bool can_only_complete(const UnconfirmedMessage& waiting) const;
   void restore_completable();
-  void apply_reported(const OutCall& out);
+  void apply_reported(const HandedOverAttempt& out);
   bool complete_if_delivered(const std::string& id);
   void close_unconfirmed(const std::string& id);
 
@@ -315,8 +315,8 @@
   bool predecessor_disconnected_ = false;   // the link to it has closed
   bool unknown_predecessor_calls_ = false;  // calls that nobody handed over may be in flight
 
-  std::optional<Inheritance> inheritance_;  // until start()
-  std::optional<Successor> successor_;      // set once this process has handed over
+  std::optional<HandoverState> inheritance_;  // until start()
+  std::optional<Successor> successor_;        // set once this process has handed over
 
   boost::asio::steady_timer step_timer_;
   std::multimap<std::chrono::steady_clock::time_point, std::uint64_t> timers_;  // the module's, with tokens
--- a/relay/relay_calls.cpp
+++ b/relay/relay_calls.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::int64_t age_ms(const Moment& started_at) {
+std::int64_t age_ms(const Timestamp& started_at) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(steady_time() - started_at.steady).count();
 }
 
@@ -38,7 +38,7 @@
     if (open.completed) close_message(id);
   }
   if (!successor_) return;
-  if (!call.mapped().at_predecessor) owners_.tell(CallRecord::of_over(number, end));
+  if (!call.mapped().at_predecessor) owners_.append(CallRecord::of_ended(number, end));
   successor_->call_ended(number, end);
 }
 
@@ -49,7 +49,7 @@
 
 // --------------------------------------------------------------------------------------- log
 
-void Relay::log_handover(const std::vector<OutCall>& calls) {
+void Relay::log_handover(const std::vector<HandedOverAttempt>& calls) {
   std::cerr << "myrtlegrade: hands over messages=" << open_count_ << " calls=" << calls_in_flight_.size()
             << " messages_out=" << calls.size() << " earlier_calls_open=" << unknown_predecessor_calls_
             << " owner=" << owners_.name() << std::endl;
@@ -68,13 +68,13 @@
   }
 }
 
-void Relay::log_inherited(const std::vector<OutCall>& calls) {
+void Relay::log_inherited(const std::vector<HandedOverAttempt>& calls) {
   std::cerr << "myrtlegrade: inherits messages_out=" << calls.size() << std::endl;
-  for (const OutCall& call : calls) {
+  for (const HandedOverAttempt& call : calls) {
     if (!call_log_.allow_line()) continue;
     std::ostringstream text;
     text << "number=" << call.call << " endpoint=" << call.host << " owner=" << call.owner
-         << " message=" << call.message << " attempt=" << call.attempt << " over=" << call.over;
+         << " message=" << call.message << " attempt=" << call.attempt << " over=" << call.message_completed;
     call_log_.write("inherited", text.str());
   }
 }
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 // The same moment on the clock that copies tell time by, and back.
-copies::Time to_copies(const Moment& at) { return CopyNet::now() + until(at, read_clocks()); }
-Moment from_copies(copies::Time at) { return read_clocks() + (at - CopyNet::now()); }
+copies::Time to_copies(const Timestamp& at) { return CopyNet::now() + until(at, read_clocks()); }
+Timestamp from_copies(copies::Time at) { return read_clocks() + (at - CopyNet::now()); }
 
 }  // namespace
 
@@ -252,7 +252,7 @@
     stored.attempts.push_back(
         {a.host, a.zone, from_copies(a.sent_at), a.state != copies::AttemptState::never_ran});
   }
-  std::optional<OutCall> out;
+  std::optional<HandedOverAttempt> out;
   if (found) {
     out = found.mapped().predecessor_call;
   } else {
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -42,25 +42,25 @@
   discovery_.stop();
   host_client_.close_all_idle();
   host_client_.limit(0, config_.descriptor_limit);
-  Inheritance all;
-  all.list.version = endpoints_.version();
-  all.learned = sender_.snapshot(now());
-  all.out = calls_in_flight();
-  all.earlier_calls_open = unknown_predecessor_calls_;
-  log_handover(all.out);
-  all.leaving = server_.leaving();
-  all.descriptors = descriptors();
-  all.last_call = last_call_;
+  HandoverState state;
+  state.list.version = endpoints_.version();
+  state.learned = sender_.snapshot(now());
+  state.in_flight = calls_in_flight();
+  state.unknown_calls_open = unknown_predecessor_calls_;
+  log_handover(state.in_flight);
+  state.leaving = server_.leaving();
+  state.descriptors = descriptors();
+  state.last_call = last_call_;
   successor_ = std::move(successor);
-  owners_.give_over();
+  owners_.mark_handed_over();
   on_drained_ = std::move(done);
   draining_since_ = since;
   continue_drain();
-  return write(all, endpoints_.list(), config_.dialect.hosts);
+  return write_handover_state(state, endpoints_.list(), config_.dialect.hosts);
 }
 
-std::vector<OutCall> Relay::calls_in_flight() const {
-  std::vector<OutCall> all;
+std::vector<HandedOverAttempt> Relay::calls_in_flight() const {
+  std::vector<HandedOverAttempt> all;
   for (const auto& [id, open] : open_) {
     for (const AttemptInFlight& out : open.in_flight) {
       const CallInFlight& call = calls_in_flight_.at(out.call);
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -43,22 +43,22 @@
     notice.handed_back = notice.handed_back && !copies_;
     discovery_.send(notice);
   }
-  std::unordered_map<std::string, const OutCall*> out;
+  std::unordered_map<std::string, const HandedOverAttempt*> out;
   knows_predecessor_calls_ = inherited.has_value();
   if (inherited) {
     last_call_ = inherited->last_call;
     reserve_descriptors(inherited->descriptors);
     if (inherited->leaving) server_.leave();
-    for (const OutCall& call : inherited->out) {
-      if (call.over) restore_call_in_flight(call);
-      if (!call.over) out[call.message] = &call;
+    for (const HandedOverAttempt& call : inherited->in_flight) {
+      if (call.message_completed) restore_call_in_flight(call);
+      if (!call.message_completed) out[call.message] = &call;
     }
-    log_inherited(inherited->out);
+    log_inherited(inherited->in_flight);
   }
-  unknown_predecessor_calls_ = !inherited || inherited->earlier_calls_open;
+  unknown_predecessor_calls_ = !inherited || inherited->unknown_calls_open;
   for (const StoredMessage& stored : journal_.take_messages()) {
     const auto at = out.find(stored.id);
-    const OutCall* call = at == out.end() ? nullptr : at->second;
+    const HandedOverAttempt* call = at == out.end() ? nullptr : at->second;
     if (copies_ && copies_->copies().find(stored.id)) {
       unconfirmed_.emplace(stored.id, UnconfirmedMessage{stored, call ? std::optional(*call) : std::nullopt});
     } else {
@@ -77,7 +77,7 @@
 }
 
 // What an earlier process had taken on, with what it knew of the message's attempts.
-void Relay::restore_message(const StoredMessage& stored, const OutCall* out,
+void Relay::restore_message(const StoredMessage& stored, const HandedOverAttempt* out,
                             const std::vector<bool>& astray) {
   const auto cls = config_.dialect.classes.find(stored.cls);
   if (!cls) {  // the class is gone from the settings: nobody can say what a repeat would do
@@ -86,7 +86,7 @@
     discovery_.send(notice);
     return;
   }
-  const Moment present = read_clocks();
+  const Timestamp present = read_clocks();
   const MessageId id = new_id();
   OpenMessage open;
   open.payload = std::make_shared<const Payload>(Payload{stored.id, stored.key, stored.body});
@@ -132,7 +132,7 @@
 }
 
 // One that is over, but has a call out that still takes a slot.
-void Relay::restore_call_in_flight(const OutCall& out) {
+void Relay::restore_call_in_flight(const HandedOverAttempt& out) {
   const auto cls = config_.dialect.classes.find(out.cls);
   if (!cls || ids_.contains(out.message)) return;
   const MessageId id = new_id();
@@ -147,15 +147,16 @@
   endpoints_.wake(out.destination, events_);
   vetchhinge::Message message{id, *cls, vetchhinge::DestinationId(out.destination), now(), {}, {}, {}};
   message.past_attempts.resize(out.attempt);  // that never ran, for all that it matters now
-  message.past_attempts.push_back(restore_attempt_in_flight(open, out, sent_at({out.sent}, read_clocks())));
+  message.past_attempts.push_back(
+      restore_attempt_in_flight(open, out, sent_at({out.sent_at}, read_clocks())));
   events_.emplace_back(std::move(message));
 }
 
-vetchhinge::PastAttempt Relay::restore_attempt_in_flight(OpenMessage& open, const OutCall& out,
+vetchhinge::PastAttempt Relay::restore_attempt_in_flight(OpenMessage& open, const HandedOverAttempt& out,
                                                          vetchhinge::Time sent) {
   const HostId id = endpoints_.call_elsewhere(out.host, out.destination, out.zone);
   AttemptInFlight& elsewhere =
-      open.in_flight.emplace_back(AttemptInFlight{out.attempt, id, out.call, Moment{out.sent}});
+      open.in_flight.emplace_back(AttemptInFlight{out.attempt, id, out.call, Timestamp{out.sent_at}});
   elsewhere.at_predecessor = elsewhere.recorded = true;
   CallInFlight& call = calls_in_flight_[out.call];
   call.host = id;
@@ -211,7 +212,7 @@
     return true;
   return std::ranges::any_of(unconfirmed_, [&](const auto& entry) {
     const auto& out = entry.second.predecessor_call;
-    return out && !out->ended && out->owner == owner && out->call == number;
+    return out && !out->call_end && out->owner == owner && out->call == number;
   });
 }
 
@@ -245,7 +246,7 @@
 void Relay::on_predecessor_disconnected() {
   predecessor_disconnected_ = true;
   release_reserved_descriptors();
-  owner_timer_.expires_after(CallOwners::kLongestHoldUp);
+  owner_timer_.expires_after(CallOwners::kMaxStall);
   owner_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) on_owner_exited({});
   });
--- a/relay/relay_same_request.cpp
+++ b/relay/relay_same_request.cpp
@@ -69,8 +69,8 @@
 
 Ended Relay::completion_record(const OpenMessage& open, Ended::Told told,
                                std::chrono::milliseconds retry_in) const {
-  const Moment present = read_clocks();
-  const Moment& last = until(open.deadline, present) > Duration{} ? open.deadline : present;
+  const Timestamp present = read_clocks();
+  const Timestamp& last = until(open.deadline, present) > Duration{} ? open.deadline : present;
   return {told, retry_in, open.fingerprint(), last + kComesAgainWithin};
 }
 
@@ -103,7 +103,7 @@
 }
 
 // The same request that was withdrawn before keeps its end.
-Moment Relay::deadline_of(const HandIn& message) const {
+Timestamp Relay::deadline_of(const HandIn& message) const {
   if (withdrawn_.empty()) return message.deadline;
   return withdrawn_.deadline_of(
       message.id, fingerprint_of_content(message.cls, message.destination, message.key, message.body),
--- a/relay/relay_waiting.cpp
+++ b/relay/relay_waiting.cpp
@@ -20,9 +20,10 @@
 void Relay::on_unconfirmed_outcome(const std::string& id, std::uint32_t attempt, const CallResult& result) {
   const auto found = unconfirmed_.find(id);
   if (found == unconfirmed_.end() || !found->second.predecessor_call) return;
-  OutCall& out = *found->second.predecessor_call;
-  if (out.attempt != attempt || out.ended || (out.told && is_final(*out.told))) return;
-  out.told = result;
+  HandedOverAttempt& out = *found->second.predecessor_call;
+  if (out.attempt != attempt || out.call_end || (out.reported_result && is_final(*out.reported_result)))
+    return;
+  out.reported_result = result;
   MessageTrace::event(id, "told_while_waiting", "attempt", attempt, "result", name_of(result.result));
   if (successor_) successor_->outcome(id, attempt, result);
 }
@@ -31,9 +32,9 @@
   bool any = false;
   for (auto& [id, waiting] : unconfirmed_) {
     if (!waiting.predecessor_call || waiting.predecessor_call->call != number ||
-        waiting.predecessor_call->ended)
+        waiting.predecessor_call->call_end)
       continue;
-    waiting.predecessor_call->ended = end;
+    waiting.predecessor_call->call_end = end;
     any = true;
   }
   if (any && successor_ && !calls_in_flight_.contains(number)) successor_->call_ended(number, end);
@@ -42,18 +43,18 @@
 void Relay::on_unconfirmed_owner_exited(const std::string& owner) {
   for (auto& [id, waiting] : unconfirmed_) {
     if (waiting.predecessor_call && waiting.predecessor_call->owner == owner &&
-        !waiting.predecessor_call->ended)
-      waiting.predecessor_call->ended = CallEnd::cut;
+        !waiting.predecessor_call->call_end)
+      waiting.predecessor_call->call_end = CallEnd::cut;
   }
 }
 
 // It has no call out, and may get no other: whoever acts on it can only end it.
 bool Relay::can_only_complete(const UnconfirmedMessage& waiting) const {
-  if (!waiting.predecessor_call || !waiting.predecessor_call->ended) return false;
-  const OutCall& out = *waiting.predecessor_call;
+  if (!waiting.predecessor_call || !waiting.predecessor_call->call_end) return false;
+  const HandedOverAttempt& out = *waiting.predecessor_call;
   const std::vector<StoredAttempt>& attempts = waiting.stored.attempts;
-  if (out.told && is_final(*out.told)) return false;
-  const bool last_may_have_run = !out.told || !never_ran(out.told->result);
+  if (out.reported_result && is_final(*out.reported_result)) return false;
+  const bool last_may_have_run = !out.reported_result || !never_ran(out.reported_result->result);
   bool may_have_run = last_may_have_run;
   for (std::size_t n = 0; n < attempts.size(); ++n)
     may_have_run = may_have_run || (n != out.attempt && attempts[n].may_have_run);
@@ -77,17 +78,18 @@
 }
 
 // The call was booked with its message, as if it were still out.
-void Relay::apply_reported(const OutCall& out) {
-  if (out.told) on_predecessor_outcome(out.message, out.attempt, *out.told);
-  if (out.ended) on_predecessor_call_ended(out.call, *out.ended);
+void Relay::apply_reported(const HandedOverAttempt& out) {
+  if (out.reported_result) on_predecessor_outcome(out.message, out.attempt, *out.reported_result);
+  if (out.call_end) on_predecessor_call_ended(out.call, *out.call_end);
 }
 
 // True: nobody is told of its end, whatever others took for it.
 bool Relay::complete_if_delivered(const std::string& id) {
   const auto found = unconfirmed_.find(id);
-  if (found == unconfirmed_.end() || !found->second.predecessor_call || !found->second.predecessor_call->told)
+  if (found == unconfirmed_.end() || !found->second.predecessor_call ||
+      !found->second.predecessor_call->reported_result)
     return false;
-  if (found->second.predecessor_call->told->result != Result::delivered) return false;
+  if (found->second.predecessor_call->reported_result->result != Result::delivered) return false;
   const StoredMessage& stored = found->second.stored;
   ++counters_.delivered;
   OpenMessage open;
@@ -106,7 +108,7 @@
 void Relay::close_unconfirmed(const std::string& id) {
   auto waiting = unconfirmed_.extract(id);
   if (!waiting || !waiting.mapped().predecessor_call) return;
-  const OutCall& out = *waiting.mapped().predecessor_call;
+  const HandedOverAttempt& out = *waiting.mapped().predecessor_call;
   restore_call_in_flight(out);
   apply_reported(out);
   schedule_step();
--- a/relay/server.cpp
+++ b/relay/server.cpp
@@ -82,7 +82,7 @@
 }
 
 // The field at fault, for the client; empty if the message can be read.
-std::string read_hand_in(Request& request, const Moment& last_byte, HandIn& message) {
+std::string read_hand_in(Request& request, const Timestamp& last_byte, HandIn& message) {
   const std::string_view path = view(request.target()).substr(1);
   message.cls = path.substr(0, path.find_first_of("/?"));
   message.id = request["X-Request-ID"];
@@ -317,7 +317,7 @@
 }
 
 // The response to what is no message that can be handed on; else fills `message`.
-std::optional<Response> Server::at_once(Request& request, const Moment& last_byte, HandIn& message) const {
+std::optional<Response> Server::at_once(Request& request, const Timestamp& last_byte, HandIn& message) const {
   const std::string_view target = view(request.target());
   if (request.method() == http::verb::get && target == "/_health") {
     if (leaving_) return plain(http::status::service_unavailable, "leaving");
--- a/relay/server.h
+++ b/relay/server.h
@@ -19,7 +19,7 @@
 
 #include "event_log.h"
 #include "host_list.h"
-#include "moment.h"
+#include "timestamp.h"
 
 namespace myrtlegrade {
 
@@ -29,7 +29,7 @@
   std::uint64_t destination = 0;
   std::string key;  // empty: none
   std::string body;
-  Moment deadline;  // by the client's count: from the request's last byte
+  Timestamp deadline;  // by the client's count: from the request's last byte
 };
 
 struct Answer {
@@ -83,7 +83,7 @@
   boost::asio::awaitable<boost::beast::error_code> read_request(Session& session, Parser& parser);
   boost::asio::awaitable<void> close_gently(Session& session);
   boost::asio::awaitable<Answer> ask(HandIn message);
-  std::optional<Response> at_once(Request& request, const Moment& last_byte, HandIn& message) const;
+  std::optional<Response> at_once(Request& request, const Timestamp& last_byte, HandIn& message) const;
   void answer_error(Session& session);
   void log_late_close(const Session& session);
   bool shed();
--- a/relay/withdrawn_requests.cpp
+++ b/relay/withdrawn_requests.cpp
@@ -6,8 +6,8 @@
 
 using vetchhinge::Duration;
 
-void WithdrawnRequests::remember(const std::string& id, std::uint64_t content, const Moment& deadline) {
-  const Moment present = read_clocks();
+void WithdrawnRequests::remember(const std::string& id, std::uint64_t content, const Timestamp& deadline) {
+  const Timestamp present = read_clocks();
   const auto is_over = [&] { return until(entries_.at(order_.front()).forgotten_at, present) <= Duration{}; };
   while (!order_.empty() && is_over()) forget_first();
   const Entry entry{content, deadline, present + kComesAgainWithin};
@@ -16,12 +16,13 @@
   order_.push_back(id);
 }
 
-Moment WithdrawnRequests::deadline_of(const std::string& id, std::uint64_t content, const Moment& own) const {
+Timestamp WithdrawnRequests::deadline_of(const std::string& id, std::uint64_t content,
+                                         const Timestamp& own) const {
   const auto found = entries_.find(id);
   if (found == entries_.end() || found->second.content != content) return own;
-  const Moment present = read_clocks();
+  const Timestamp present = read_clocks();
   if (until(found->second.forgotten_at, present) <= Duration{}) return own;
-  const Moment& first = found->second.deadline;
+  const Timestamp& first = found->second.deadline;
   return until(first, present) < until(own, present) ? first : own;
 }
 
--- a/relay/withdrawn_requests.h
+++ b/relay/withdrawn_requests.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "moment.h"
+#include "timestamp.h"
 
 namespace myrtlegrade {
 
@@ -19,17 +19,17 @@
   static constexpr std::size_t kMost = 1024;
 
   // `content`: by fingerprint_of_content(). Remembered for as long as it may come again.
-  void remember(const std::string& id, std::uint64_t content, const Moment& deadline);
+  void remember(const std::string& id, std::uint64_t content, const Timestamp& deadline);
   // The earlier of a request's own end and the one that is remembered of it.
-  Moment deadline_of(const std::string& id, std::uint64_t content, const Moment& own) const;
+  Timestamp deadline_of(const std::string& id, std::uint64_t content, const Timestamp& own) const;
 
   bool empty() const { return entries_.empty(); }
 
  private:
   struct Entry {
     std::uint64_t content = 0;
-    Moment deadline;
-    Moment forgotten_at;
+    Timestamp deadline;
+    Timestamp forgotten_at;
   };
   void forget_first();
 
--- a/tests/call_ends_test.cpp
+++ b/tests/call_ends_test.cpp
@@ -40,7 +40,7 @@
   // The first call waits for the test, later ones are answered at once.
   bool hold_one(tcp::socket& socket, Request& request) {
     if (!first_.exchange(false)) {
-      if (is_open(held_)) watched_.change([this] { second_copies_.emplace_back("m"); });
+      if (is_open(held_)) watched_.change([this] { overlapping_calls_.emplace_back("m"); });
       return kAccept(socket, request);
     }
     held_ = socket.native_handle();
@@ -76,12 +76,12 @@
   void expect_repeated_in_time() {
     ASSERT_TRUE(wait_delivered("m", 2));
     EXPECT_LT(SteadyClock::now() - ended_, kToldWithin + kRest);
-    EXPECT_EQ(second_copies(), std::vector<std::string>{});
+    EXPECT_EQ(overlapping_calls(), std::vector<std::string>{});
   }
 
   void expect_known_as_delivered() {
     EXPECT_EQ(process_->wait(), 0);
-    std::this_thread::sleep_for(2 * kLongestHoldUp);
+    std::this_thread::sleep_for(2 * kMaxStall);
     EXPECT_FALSE(watched_.read([this] { return notices_.contains("m"); }));
     EXPECT_EQ(count_deliveries("m"), 1U);
   }
@@ -106,7 +106,7 @@
 TEST_F(CallEndsTest, AMessageIsRepeatedThoughTheLinkToTheLastProcessBrokeBefore) {
   hand_over_twice("note");
   break_link(broken_in_third_, new_);
-  std::this_thread::sleep_for(2 * kLongestHoldUp);
+  std::this_thread::sleep_for(2 * kMaxStall);
   EXPECT_EQ(count_deliveries("m"), 1U) << "its call is still out";
   end_call(Answer::none);
   expect_repeated_in_time();
@@ -118,9 +118,9 @@
   third_->signal(SIGSTOP);
   end_call(Answer::none);
   std::ofstream(broken_in_third_) << "now";
-  std::this_thread::sleep_for(kLongestHoldUp / 2);
+  std::this_thread::sleep_for(kMaxStall / 2);
   third_->signal(SIGCONT);
-  expect_given_up_in_time(kToldWithin + kLongestHoldUp);
+  expect_given_up_in_time(kToldWithin + kMaxStall);
 }
 
 // Guards against hearing an end twice: by the link, and then by what is left once that is broken.
@@ -129,7 +129,7 @@
   end_call(Answer::none);
   expect_repeated_in_time();
   break_link(broken_in_third_, new_);
-  std::this_thread::sleep_for(2 * kLongestHoldUp);
+  std::this_thread::sleep_for(2 * kMaxStall);
   EXPECT_EQ(count_deliveries("m"), 2U);
 }
 
@@ -157,7 +157,7 @@
   std::this_thread::sleep_for(kToldWithin);
   ASSERT_EQ(submit("other", "note", 3), 202U);
   EXPECT_EQ(process_->wait(), 0);
-  std::this_thread::sleep_for(2 * kLongestHoldUp);
+  std::this_thread::sleep_for(2 * kMaxStall);
   EXPECT_EQ(count_deliveries("m"), 1U);
   EXPECT_EQ(count_deliveries("other"), 0U);
 }
@@ -166,7 +166,7 @@
 TEST_F(CallEndsTest, AnAnswerIsKnownThoughTheLinkToTheFirstProcessBroke) {
   hand_over_twice("refund");
   break_link(broken_in_second_, process_);
-  std::this_thread::sleep_for(kLongestHoldUp);
+  std::this_thread::sleep_for(kMaxStall);
   end_call(Answer::delivered);
   expect_known_as_delivered();
 }
@@ -225,7 +225,7 @@
   process_->signal(SIGKILL);
   EXPECT_EQ(process_->wait(), 128 + SIGKILL);
   third_->signal(SIGCONT);
-  std::this_thread::sleep_for(3 * kLongestHoldUp);
+  std::this_thread::sleep_for(3 * kMaxStall);
   EXPECT_FALSE(watched_.read([this] { return notices_.contains("m"); }));
   EXPECT_EQ(count_deliveries("m"), 1U);
 }
@@ -262,7 +262,7 @@
   writer.add(CallRecord::of_outcome(7, "m", 2, {vetchhinge::Result::error, false, 30ms, 5ms, {}, {}}));
   EXPECT_FALSE(writer.flush(-1));
   EXPECT_TRUE(writer.flush(file));
-  writer.add(CallRecord::of_over(7, CallEnd::answered));
+  writer.add(CallRecord::of_ended(7, CallEnd::answered));
   EXPECT_TRUE(writer.flush(file));
   std::string whole(4096, ' ');
   whole.resize(static_cast<std::size_t>(::pread(file, whole.data(), whole.size(), 0)));
--- a/tests/call_owners_test.cpp
+++ b/tests/call_owners_test.cpp
@@ -27,18 +27,18 @@
   boost::asio::io_context context;
   {
     CallOwners owners(context.get_executor(), folder,
-                      {.told = [](const std::string&, const CallRecord&) {},
-                       .gone = [&](const std::string&) { gone_at = std::chrono::steady_clock::now(); },
-                       .none_left = [] {}});
+                      {.on_record = [](const std::string&, const CallRecord&) {},
+                       .on_gone = [&](const std::string&) { gone_at = std::chrono::steady_clock::now(); },
+                       .on_none_left = [] {}});
     owners.start();
-    context.run_for(CallOwners::kLongestHoldUp / 3);
+    context.run_for(CallOwners::kMaxStall / 3);
     ASSERT_EQ(::flock(file, LOCK_EX | LOCK_NB), 0);
-    context.run_for(2 * CallOwners::kLongestHoldUp);
+    context.run_for(2 * CallOwners::kMaxStall);
     EXPECT_EQ(gone_at.time_since_epoch().count(), 0);
     ::close(file);
     const auto freed = std::chrono::steady_clock::now();
-    context.run_for(2 * CallOwners::kLongestHoldUp);
-    EXPECT_GE(gone_at - freed, CallOwners::kLongestHoldUp);
+    context.run_for(2 * CallOwners::kMaxStall);
+    EXPECT_GE(gone_at - freed, CallOwners::kMaxStall);
   }
   fs::remove_all(folder);
 }
--- a/tests/copies_upgrade_test.cpp
+++ b/tests/copies_upgrade_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr auto kEndsWithin = 150ms;  // 100 ms, on sockets 50 ms longer (PROTOCOL)
 constexpr auto kRest = 100ms;        // behind an attempt that failed
-constexpr auto kWaits = 2 * kLongestHoldUp;
+constexpr auto kWaits = 2 * kMaxStall;
 
 class CopiesUpgradeTest : public HandoverTest {
  protected:
@@ -172,7 +172,7 @@
   start_all();
   upgrade_with_holders_stopped("refund", process_, kLasts);
   end_call(true);
-  std::this_thread::sleep_for(kLasts + kOwed + kLongestHoldUp);
+  std::this_thread::sleep_for(kLasts + kOwed + kMaxStall);
   EXPECT_FALSE(watched_.read([this] { return notices_.contains("m"); }));
   EXPECT_EQ(count_deliveries("m"), 1U);
 }
--- a/tests/handover_fixture.h
+++ b/tests/handover_fixture.h
@@ -8,7 +8,7 @@
 namespace myrtlegrade::test {
 
 // A page allows a relay to be held up for so long at any point.
-inline constexpr auto kLongestHoldUp = 150ms;
+inline constexpr auto kMaxStall = 150ms;
 
 class HandoverTest : public UpgradeTest {
  protected:
@@ -35,7 +35,7 @@
 
   void arrived(const std::string& id, int file) {
     std::vector<int>& files = open_calls_[id];
-    if (std::ranges::any_of(files, is_open)) second_copies_.push_back(id);
+    if (std::ranges::any_of(files, is_open)) overlapping_calls_.push_back(id);
     files.push_back(file);
   }
 
@@ -69,9 +69,9 @@
   }
 
   // The shim delays each close of a connection of that process.
-  void hold_up_closes_of_old() {
+  void delay_closes_of_old() {
     environment_["LD_PRELOAD"] = SHIM;
-    environment_["SOAK_CLOSE_MS"] = std::to_string(kLongestHoldUp.count());
+    environment_["SOAK_CLOSE_MS"] = std::to_string(kMaxStall.count());
   }
 
   void start_next(std::optional<Process>& process) {
@@ -102,20 +102,20 @@
     return true;
   }
 
-  std::vector<std::string> second_copies() {
-    return watched_.read([this] { return second_copies_; });
+  std::vector<std::string> overlapping_calls() {
+    return watched_.read([this] { return overlapping_calls_; });
   }
 
   // After all earlier calls have ended the message is still owed, and comes once more.
-  void expect_repeated_later(const std::string& id) {
+  void expect_repeated_after_calls_end(const std::string& id) {
     EXPECT_TRUE(wait_delivered(id, 2)) << "the message is still owed";
-    EXPECT_EQ(second_copies(), std::vector<std::string>{});
+    EXPECT_EQ(overlapping_calls(), std::vector<std::string>{});
   }
 
   double note_ms_ = 0, refund_ms_ = 0;
   std::map<std::string, std::string> next_environment_;  // of processes that stand by
   std::map<std::string, std::vector<int>> open_calls_;   // sockets, by message
-  std::vector<std::string> second_copies_;
+  std::vector<std::string> overlapping_calls_;
   std::optional<Process> third_;
 };
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -3,27 +3,27 @@
 #include <unistd.h>
 
 #include "coroutine.h"
-#include "frames.h"
 #include "handover_fixture.h"
-#include "link.h"
+#include "handover_frames.h"
+#include "handover_link.h"
 #include "state_lock.h"
 
 namespace myrtlegrade::test {
 namespace {
 
 // In the place of a process that stands by.
-boost::asio::awaitable<void> stand_by(Link::Protocol::socket socket, std::optional<Process>& old) {
-  const auto link = std::make_shared<Link>(std::move(socket));
+boost::asio::awaitable<void> stand_by(HandoverLink::Protocol::socket socket, std::optional<Process>& old) {
+  const auto link = std::make_shared<HandoverLink>(std::move(socket));
   const auto descriptor = co_await link->receive_descriptor();
   if (descriptor) ::close(*descriptor);
   auto frame = co_await link->receive();
-  while (frame && static_cast<Frame>(frame->front()) != Frame::over) {
-    const Frame kind = static_cast<Frame>(frame->front());
-    if (kind == Frame::hello) {
-      link->send(RecordWriter(Frame::hello).number(kLinkVersion));
+  while (frame && static_cast<HandoverFrame>(frame->front()) != HandoverFrame::handover) {
+    const HandoverFrame kind = static_cast<HandoverFrame>(frame->front());
+    if (kind == HandoverFrame::hello) {
+      link->send(RecordWriter(HandoverFrame::hello).number(kHandoverVersion));
       old->signal(SIGTERM);
     }
-    if (kind == Frame::prepare) link->send(RecordWriter(Frame::prepared));
+    if (kind == HandoverFrame::prepare) link->send(RecordWriter(HandoverFrame::prepared));
     frame = co_await link->receive();
   }
   EXPECT_TRUE(frame) << "nothing was given over";
@@ -32,8 +32,8 @@
 
 void take_what_is_given_over(const std::string& folder, std::optional<Process>& old) {
   boost::asio::io_context context;
-  Link::Protocol::socket socket(context);
-  socket.connect(Link::place(folder));
+  HandoverLink::Protocol::socket socket(context);
+  socket.connect(HandoverLink::endpoint_in(folder));
   spawn(context.get_executor(), stand_by(std::move(socket), old));
   context.run();
 }
@@ -53,7 +53,7 @@
   std::this_thread::sleep_for(700ms);  // past the first time-out, far from the second
   process_->signal(SIGTERM);
   EXPECT_EQ(process_->wait(), 0);
-  expect_repeated_later("short");
+  expect_repeated_after_calls_end("short");
   EXPECT_EQ(count_deliveries("long"), 1U) << "it may have run, and may not be repeated";
 }
 
@@ -72,7 +72,7 @@
   std::this_thread::sleep_for(800ms);  // the first time-out is told by now
   upgrade(new_, third_);
   EXPECT_EQ(process_->wait(), 0);
-  expect_repeated_later("short");
+  expect_repeated_after_calls_end("short");
 }
 
 // A process with no call of its own is told to end while the one before it still has some.
@@ -86,7 +86,7 @@
   upgrade(new_, third_);
   EXPECT_EQ(new_->wait(), 0);
   EXPECT_EQ(process_->wait(), 0);
-  expect_repeated_later("m");
+  expect_repeated_after_calls_end("m");
 }
 
 // The process that took over is killed; the one started in its place finds the journal alone.
@@ -99,7 +99,7 @@
   upgrade(process_, new_);
   EXPECT_EQ(end(new_, SIGKILL), 128 + SIGKILL);
   start_next(third_);
-  expect_repeated_later("m");
+  expect_repeated_after_calls_end("m");
   EXPECT_EQ(process_->wait(), 0);
 }
 
@@ -119,33 +119,33 @@
   EXPECT_EQ(count_deliveries("m"), 1U);
   process_->signal(SIGKILL);
   EXPECT_EQ(process_->wait(), 128 + SIGKILL);
-  expect_repeated_later("m");
+  expect_repeated_after_calls_end("m");
 }
 
 // The old process leaves with a call open, and is held up before it closes the connection.
 TEST_F(HandoverTest, TheEndOfTheOldProcessIsNotTheEndOfItsCalls) {
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
-  hold_up_closes_of_old();
+  delay_closes_of_old();
   start_old(6000, 6000);
   ASSERT_EQ(submit("m", "note", 3), 202U);
   ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   EXPECT_EQ(process_->wait(), 0);
-  expect_repeated_later("m");
+  expect_repeated_after_calls_end("m");
 }
 
 // A time-out is told once the connection is closed, however long that takes.
 TEST_F(HandoverTest, ATimeOutIsNotTheEndOfItsCall) {
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
-  hold_up_closes_of_old();
+  delay_closes_of_old();
   start_old(700, 700);
   ASSERT_EQ(submit("m", "note", 3), 202U);
   ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   EXPECT_EQ(process_->wait(), 0);
-  expect_repeated_later("m");
+  expect_repeated_after_calls_end("m");
 }
 
 // The link between both processes breaks behind the hand-over. The old process, whom nobody hears any more,
@@ -256,7 +256,7 @@
   start_next(new_);
   ASSERT_TRUE(wait_healthy(new_));
   EXPECT_EQ(end(process_, SIGKILL), 128 + SIGKILL);
-  expect_repeated_later("m");
+  expect_repeated_after_calls_end("m");
 }
 
 // The configuration is read anew between the start of the new process and the hand-over: the old process
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -71,7 +71,7 @@
 
 // A timestamp is restored with both clocks; from the record of an older version, only the wall clock is.
 TEST_F(JournalTest, MomentsComeBackWholeAndThoseOfAnEarlierProgramAsFarAsTheyGo) {
-  const Moment at{WallTime(5s), 77, vetchhinge::Time(9s)};
+  const Timestamp at{WallTime(5s), 77, vetchhinge::Time(9s)};
   {
     Journal journal(folder_, 3'000'000);
     journal.accept({"a", "receipt", 7, "k", "b", at + 1s, {}});
@@ -90,7 +90,7 @@
       << RecordWriter(RecordKind::attempt).text("b").text("h").text("z").time(at.wall).record();
   const auto messages = Journal(folder_, 3'000'000).take_messages();
   ASSERT_EQ(messages.size(), 2U);
-  const auto whole = [](const Moment& m) { return std::tuple(m.wall, m.boot, m.steady); };
+  const auto whole = [](const Timestamp& m) { return std::tuple(m.wall, m.boot, m.steady); };
   EXPECT_EQ(whole(messages[0].deadline), whole(at + 1s));
   EXPECT_EQ(whole(messages[0].attempts.at(0).sent), whole(at));
   EXPECT_EQ(whole(messages[1].deadline), whole({at.wall}));
@@ -142,7 +142,7 @@
 // Guards against a compaction that drops the outcomes of completed messages, so that a repeated request runs
 // again after a restart.
 TEST_F(JournalTest, CompletedMessagesSurviveACompactionAndAStart) {
-  const Moment until = read_clocks() + 60s;
+  const Timestamp until = read_clocks() + 60s;
   {
     Journal journal(folder_, 1'000'000);
     for (const char* id : {"taken", "given-up", "past"}) journal.accept(message(id));
@@ -182,7 +182,7 @@
 // is refused.
 TEST_F(JournalTest, CompletedMessagesAreEvictedBeforeTheyTakeRoomFromPendingOnes) {
   constexpr std::uint64_t kMaxBytes = 300'000, kCompleted = 10'000;
-  const Moment until = read_clocks() + 60s;
+  const Timestamp until = read_clocks() + 60s;
   {
     Journal journal(folder_, kMaxBytes);
     for (std::uint64_t i = 0; i < kCompleted; ++i) {
@@ -313,8 +313,8 @@
     Journal journal(disk, 1'000'000'000, durability);
     for (std::size_t i = 0; i < messages; ++i) {
       for (const std::string& id : {"pending-" + std::to_string(i), "completed-" + std::to_string(i)}) {
-        journal.accept({id, "refund", 7, "", "hello", Moment{WallTime(5s), 0, {}}, {}});
-        journal.record_attempt(id, 0, {"h", "z", Moment{WallTime(1s), 0, {}}});
+        journal.accept({id, "refund", 7, "", "hello", Timestamp{WallTime(5s), 0, {}}, {}});
+        journal.record_attempt(id, 0, {"h", "z", Timestamp{WallTime(1s), 0, {}}});
       }
       journal.complete("completed-" + std::to_string(i));
     }
--- a/tests/ready_test.cpp
+++ b/tests/ready_test.cpp
@@ -36,7 +36,7 @@
 Written write_journal(const fs::path& folder, double disk_mb, std::size_t body) {
   const auto most = static_cast<std::uint64_t>(disk_mb * 1e6);
   Journal journal(folder, most);
-  const Moment now = read_clocks();
+  const Timestamp now = read_clocks();
   const auto accept = [&](const std::string& id, std::size_t i) {
     journal.accept(
         {id, "receipt", 2 + i % partners(), "key-of-" + id, std::string(body, 'b'), now + 60s, {}});
--- a/tests/window_test.cpp
+++ b/tests/window_test.cpp
@@ -241,8 +241,8 @@
 
 // The time of day was set while no process ran, or the machine started anew, and its clock is off.
 TEST(Moments, CountByTheSteadyClockInOneRunOfTheMachine) {
-  const Moment now{WallTime(100h), 7, vetchhinge::Time(50h)};
-  const auto seen = [&](Moment at, vetchhinge::Duration set) {
+  const Timestamp now{WallTime(100h), 7, vetchhinge::Time(50h)};
+  const auto seen = [&](Timestamp at, vetchhinge::Duration set) {
     at.wall += set;
     return std::pair(sent_at(at, now) - now.steady, due_at(at, now) - now.steady);
   };
@@ -252,11 +252,11 @@
   EXPECT_EQ(seen(now + -2s, -10min), Pair(-2s, -2s)) << "set ahead: likewise";
   EXPECT_EQ(seen(now + 5s, 10min).second, 5s) << "its time is not longer for that";
   EXPECT_EQ(seen(now + 5s, -10min).second, 5s) << "nor shorter";
-  const Moment earlier_program{now.wall, 0, vetchhinge::Time(90h)};
+  const Timestamp earlier_program{now.wall, 0, vetchhinge::Time(90h)};
   EXPECT_EQ(seen(earlier_program, -2s), Pair(-2s, -2s)) << "the time of day is all there is";
   EXPECT_EQ(seen(earlier_program, 5s).second, 5s);
   EXPECT_LT(seen(earlier_program, 1us).first, -24h) << "nothing was sent in times to come";
-  const Moment earlier_run{now.wall, 8, vetchhinge::Time(90h)};
+  const Timestamp earlier_run{now.wall, 8, vetchhinge::Time(90h)};
   EXPECT_EQ(seen(earlier_run, 5s).second, 5s);
   for (const vetchhinge::Duration set : {-2s, 0s, 2s}) {
     EXPECT_LT(seen(earlier_run, set).first, -24h) << "nothing tells how long ago";
@@ -265,10 +265,10 @@
 
 TEST_F(RelayTest, AClockThatWasSetBringsNoRepeatAfterTheWindow) {
   add_host("h", 2, "plain", kAccept);
-  const Moment now = read_clocks();
+  const Timestamp now = read_clocks();
   {
     Journal journal(folder_ / "state", 1'000'000);
-    const auto found = [&](const std::string& id, Moment sent, vetchhinge::Duration set) {
+    const auto found = [&](const std::string& id, Timestamp sent, vetchhinge::Duration set) {
       sent.wall += set;
       journal.accept({id, "receipt", 2, "key-of-" + id, "hello", now + 20s, {}});
       journal.record_attempt(id, 0, {"h", "a", sent});
