--- a/relay/copies_file.cpp
+++ b/relay/copies_file.cpp
@@ -14,66 +14,69 @@
 
 namespace {
 
-constexpr std::uint64_t kLeastAnew = 256 << 10;  // smaller files are not worth it
+constexpr std::uint64_t kMinRewriteBytes = 256 << 10;  // smaller files are not worth a rewrite
 
 }  // namespace
 
-copies::Duration wall_of(copies::Time now) {
-  const auto wall = std::chrono::system_clock::now().time_since_epoch();
-  return std::chrono::duration_cast<copies::Duration>(wall) - now.time_since_epoch();
+copies::Duration wall_offset_at(copies::Time now) {
+  const auto wall_time = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<copies::Duration>(wall_time) - now.time_since_epoch();
 }
 
-CopiesFile::CopiesFile(recovery::Disk& disk, std::string member, std::uint64_t most_bytes,
-                       recovery::Durability durability, copies::Duration wall, std::uint64_t boot)
-    : disk_(disk), member_(std::move(member)), most_(most_bytes), durability_(durability) {
+CopiesFile::CopiesFile(recovery::Disk& disk, std::string member, std::uint64_t max_bytes,
+                       recovery::Durability durability, copies::Duration wall_offset, std::uint64_t boot)
+    : disk_(disk), member_(std::move(member)), max_bytes_(max_bytes), durability_(durability) {
   disk_.remove(std::string(kName) + ".new");
-  stored_ = copies::read_stored(disk_.read(kName).value_or(""), wall, boot);
-  if (stored_.newer_format) throw std::runtime_error("PROXY_STATE: the copies are of a later program");
-  const bool others = stored_.storage_id != 0 && stored_.member != member_;
-  if (stored_.damaged || others) {
+  stored_ = copies::read_stored(disk_.read(kName).value_or(""), wall_offset, boot);
+  if (stored_.newer_format)
+    throw std::runtime_error("PROXY_STATE: the file copies was written by a newer version of the program");
+  const bool other_member = stored_.storage_id != 0 && stored_.member != member_;
+  if (stored_.damaged || other_member) {
     std::cerr << "myrtlegrade: copies: the file is not used: "
-              << (others ? "it is another member's" : "it is damaged") << std::endl;
+              << (other_member ? "it belongs to another member" : "it is damaged") << std::endl;
     stored_ = {};
   }
   size_ = stored_.valid_bytes;
-  wall_ = stored_.wall_offset.value_or(wall);
-  behind_ =
-      boot != 0 && !stored_.wall_offset;  // written anew before anything goes behind what another clock wrote
+  wall_offset_ = stored_.wall_offset.value_or(wall_offset);
+  // Records of another boot use another clock, so the file is rewritten before anything is appended.
+  needs_rewrite_ = boot != 0 && !stored_.wall_offset;
   errno = 0;
   if (!disk_.truncate(kName, size_))
     throw std::system_error(errno, std::generic_category(), "PROXY_STATE: copies");
 }
 
 bool CopiesFile::append(const std::string& records, const std::function<std::string()>& snapshot) {
-  std::string all = records;
-  if (synced_ > told_) all.insert(0, copies::synced_record(told_ = synced_));
-  const std::uint64_t after = size_ + all.size();
-  const bool anew = size_ == 0 || after > std::max(std::min(kLeastAnew, most_ / 4), 2 * written_anew_) ||
-                    after > most_ * 6 / 10;
-  // After what could not be written a part of it would be no more than that: all of it, or nothing.
-  if ((anew || behind_) && rewrite(snapshot())) return true;
-  if (behind_) return false;
-  if (after > most_ || !disk_.append(kName, all)) {
+  std::string text = records;
+  if (synced_ > recorded_synced_) text.insert(0, copies::synced_record(recorded_synced_ = synced_));
+  const std::uint64_t new_size = size_ + text.size();
+  const bool rewrite_due =
+      size_ == 0 || new_size > std::max(std::min(kMinRewriteBytes, max_bytes_ / 4), 2 * rewritten_size_) ||
+      new_size > max_bytes_ * 6 / 10;
+  // After a failed write the file lacks records, so only a complete snapshot makes it consistent again.
+  if ((rewrite_due || needs_rewrite_) && rewrite(snapshot())) return true;
+  if (needs_rewrite_) return false;
+  if (new_size > max_bytes_ || !disk_.append(kName, text)) {
     (void)disk_.truncate(kName, size_);
-    behind_ = true;
+    needs_rewrite_ = true;
     return false;
   }
-  size_ = after;
+  size_ = new_size;
   return true;
 }
 
-// It says from its first byte on that it tells what was synced: without that a torn tail would pass for
-// damage.
+// With durability `power` the new file notes from the start that it records its synced size: without that, a
+// torn tail could not be told from damage.
 bool CopiesFile::rewrite(const std::string& snapshot) {
   std::string text = snapshot;
   if (durability_ == recovery::Durability::power) text += copies::synced_record(0);
-  if (size_ + text.size() > most_) return false;
+  if (size_ + text.size() > max_bytes_) return false;
   const recovery::ReplaceResult replaced = recovery::replace_file(disk_, kName, text, durability_);
   if (replaced == recovery::ReplaceResult::failed) return false;
-  size_ = written_anew_ = text.size();
-  synced_ = told_ = 0;
-  behind_ = replaced == recovery::ReplaceResult::unsynced;  // written anew until the name is known to last
-  return !behind_;
+  size_ = rewritten_size_ = text.size();
+  synced_ = recorded_synced_ = 0;
+  // Rewritten again until the new directory entry is known to be synced.
+  needs_rewrite_ = replaced == recovery::ReplaceResult::unsynced;
+  return !needs_rewrite_;
 }
 
 }  // namespace myrtlegrade
--- a/relay/copies_file.h
+++ b/relay/copies_file.h
@@ -1,4 +1,5 @@
-// The file `copies` in the folder that lasts: what this relay has promised and holds in its groups.
+// The file `copies` in the state folder: an append-only log of the promises and items of this relay's groups,
+// rewritten as a snapshot when most of its content is obsolete.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +14,30 @@
 
 class CopiesFile {
  public:
-  // Throws std::runtime_error where a later program wrote it, std::system_error where it can't be opened.
-  CopiesFile(valedrum::recovery::Disk& disk, std::string member, std::uint64_t most_bytes,
-             valedrum::recovery::Durability durability, valedrum::copies::Duration wall,
+  // Reads the file. Throws std::runtime_error if a newer version of the program wrote it, std::system_error
+  // if it cannot be opened. `boot` identifies the boot of the machine; 0 if unknown.
+  CopiesFile(valedrum::recovery::Disk& disk, std::string member, std::uint64_t max_bytes,
+             valedrum::recovery::Durability durability, valedrum::copies::Duration wall_offset,
              std::uint64_t boot = 0);
 
-  // By which all records have to be written: what the day's clock showed when the file was begun, in this run
-  // of the machine.
-  valedrum::copies::Duration wall() const { return wall_; }
+  // Returns the offset of the wall clock with which all records have to be written. It is fixed when the file
+  // is created or first rewritten in the current boot of the machine.
+  valedrum::copies::Duration wall_offset() const { return wall_offset_; }
 
-  // What was found. Nothing where it was damaged or another member's: then this is a new life, which knows of
-  // no group.
+  // Returns the state that was read, and releases it. It is empty if the file was damaged or written by
+  // another member: this member then starts with a new storage id and without groups.
   valedrum::copies::StoredState take() { return std::exchange(stored_, {}); }
 
-  // What has to be on disk before anything that depends on it is said. With `snapshot`, all that matters, it
-  // is written anew where little of it still does. False: the disk takes no more; nothing of it may be said.
+  // Appends records. They must be on disk before any message that depends on them is sent. Rewrites the file
+  // with `snapshot`, which returns the complete state, when most of its content is obsolete. Returns false if
+  // the records could not be written; then no message that depends on them may be sent.
   bool append(const std::string& records, const std::function<std::string()>& snapshot);
-  // As Journal::sync_later(). `done` has to be told of it.
+  // Returns the work of a sync of what has been written so far; another thread may run it. After a successful
+  // sync synced() has to be called.
   std::function<bool()> sync_later() { return disk_.sync_later(kName); }
   std::uint64_t size() const { return size_; }
-  // So much of it is synced: the next record says so, for what is damaged there was no torn tail.
+  // Notes that the first `bytes` bytes are synced. The next append records this, because damage in the synced
+  // part cannot be the torn tail of an interrupted write.
   void synced(std::uint64_t bytes) { synced_ = bytes; }
 
  private:
@@ -41,16 +46,16 @@
 
   valedrum::recovery::Disk& disk_;
   std::string member_;
-  std::uint64_t most_;
+  std::uint64_t max_bytes_;
   valedrum::recovery::Durability durability_;
-  std::uint64_t synced_ = 0, told_ = 0;
-  std::uint64_t size_ = 0, written_anew_ = 0;  // bytes; after the last time that it was written anew
-  bool behind_ = false;                        // something was not written
-  valedrum::copies::Duration wall_{};
+  std::uint64_t synced_ = 0, recorded_synced_ = 0;  // bytes; synced, and noted as synced in the file
+  std::uint64_t size_ = 0, rewritten_size_ = 0;     // bytes; now, and after the last rewrite
+  bool needs_rewrite_ = false;                      // the file lacks records or its offset is outdated
+  valedrum::copies::Duration wall_offset_{};
   valedrum::copies::StoredState stored_;
 };
 
-// What the day's clock shows at the zero of the one that copies tell time by.
-valedrum::copies::Duration wall_of(valedrum::copies::Time now);
+// Returns the difference between the wall clock and the clock of the copies state machine.
+valedrum::copies::Duration wall_offset_at(valedrum::copies::Time now);
 
 }  // namespace myrtlegrade
--- a/relay/copy_net.cpp
+++ b/relay/copy_net.cpp
@@ -30,13 +30,13 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr auto kAddressAgain = 100ms;
-constexpr auto kUpWithin = 1s;                           // for a connection, and the first word on it
-constexpr auto kAnswerWithin = 2s;                       // then it leads nowhere, however open it looks
-constexpr auto kPauseFirst = 50ms, kPauseMost = 2000ms;  // between tries to reach one that is not there
-constexpr std::size_t kMostQueued = 1 << 20;             // bytes for one that does not read
-constexpr std::size_t kMostFrame = 4 << 20;
-constexpr std::uint64_t kVersion = 1;  // of what is said on a connection
+constexpr auto kListenRetryInterval = 100ms;
+constexpr auto kConnectTimeout = 1s;  // for the connection and the hello frame on it
+constexpr auto kAnswerTimeout = 2s;   // a connection without an answer for this long is closed as dead
+constexpr auto kMinRetryPause = 50ms, kMaxRetryPause = 2000ms;  // between connection attempts to a peer
+constexpr std::size_t kMaxQueuedBytes = 1 << 20;                // for a peer that does not read
+constexpr std::size_t kMaxFrameBytes = 4 << 20;
+constexpr std::uint64_t kProtocolVersion = 1;
 
 enum class Hello : std::uint8_t { hello = 'h' };
 
@@ -53,7 +53,7 @@
       name_(name),
       on_event_(std::move(on_event)),
       disk_(folder),
-      file_(disk_, name, disk_bytes, durability, wall_of(now()), read_clocks().boot),
+      file_(disk_, name, disk_bytes, durability, wall_offset_at(now()), read_clocks().boot),
       acceptor_(executor),
       timer_(executor),
       retry_(executor) {
@@ -63,10 +63,10 @@
   self.identity = {name, 0, config.advertise};
   self.machine = fleet.machine;
   self.zone = fleet.zone;
-  // Other members may still know groups that this one has dropped, so their numbers must not come again in
-  // another process, also where that has the same configuration, and with it the same seed.
-  const std::uint64_t process = std::random_device{}() | std::uint64_t{std::random_device{}()} << 32;
-  copies_.emplace(config.settings, std::move(self), file_.take(), seed ^ process, now());
+  // Other members may still know groups that this member has dropped. A later process must not reuse their
+  // numbers, even if it has the same configuration and therefore the same seed.
+  const std::uint64_t process_seed = std::random_device{}() | std::uint64_t{std::random_device{}()} << 32;
+  copies_.emplace(config.settings, std::move(self), file_.take(), seed ^ process_seed, now());
 }
 
 copies::Time CopyNet::now() {
@@ -93,9 +93,9 @@
 void CopyNet::start() {
   if (stopped_) return;
   if (!open()) {
-    if (!std::exchange(waits_, true))
+    if (!std::exchange(bind_failed_, true))
       std::cerr << "myrtlegrade: copies: " << to_text(config_.bind) << " is not free yet" << std::endl;
-    retry_.expires_after(kAddressAgain);
+    retry_.expires_after(kListenRetryInterval);
     retry_.async_wait([self = shared_from_this()](boost::system::error_code error) {
       if (!error) self->start();
     });
@@ -104,7 +104,7 @@
   std::cerr << "myrtlegrade: copies: " << config_.settings.copies << " at " << to_text(config_.bind)
             << ", reached at " << to_text(config_.advertise) << std::endl;
   spawn(executor_, accept());
-  turn();
+  flush();
 }
 
 void CopyNet::stop() {
@@ -119,71 +119,75 @@
   }
 }
 
-void CopyNet::candidates(std::vector<copies::Candidate> all) {
+void CopyNet::set_candidates(std::vector<copies::Candidate> all) {
   copies_->set_candidates(now(), std::move(all));
-  turn();
+  flush();
 }
 
 copies::PublishedMember CopyNet::published() const {
   return {config_.advertise, copies_->storage_id(), copies_->free_eighths()};
 }
 
-// What others hear must not be newer than what this relay knows after a crash. Events lead to more of it.
-void CopyNet::turn() {
-  again_ = true;
-  if (stopped_ || std::exchange(turning_, true)) return;
-  while (std::exchange(again_, false) && !stopped_) {
+// Frames are sent only after the records that they rely on are written, since other members must not learn
+// anything that this relay would not know after a crash. Event handlers may produce more output, so the loop
+// runs until there is none.
+void CopyNet::flush() {
+  flush_again_ = true;
+  if (stopped_ || std::exchange(flushing_, true)) return;
+  while (std::exchange(flush_again_, false) && !stopped_) {
     copies_->flush(now());
-    const copies::Duration wall = file_.wall();
-    const std::string records = copies_->take_records(wall);
-    const bool kept =
-        records.empty() || file_.append(records, [&] { return copies_->snapshot(wall, read_clocks().boot); });
-    if (kept == disk_failed_) {
-      disk_failed_ = !kept;
-      std::cerr << "myrtlegrade: copies: " << (kept ? "the disk takes them again" : "the disk takes no more")
-                << std::endl;
+    const copies::Duration wall_offset = file_.wall_offset();
+    const std::string records = copies_->take_records(wall_offset);
+    const bool written = records.empty() || file_.append(records, [&] {
+      return copies_->snapshot(wall_offset, read_clocks().boot);
+    });
+    if (written == disk_failed_) {
+      disk_failed_ = !written;
+      std::cerr << "myrtlegrade: copies: "
+                << (written ? "the disk accepts records again" : "the disk takes no more") << std::endl;
     }
     auto frames = copies_->take_frames();
-    if (kept) send_when_kept(std::move(frames), !records.empty());
+    if (written) send_when_durable(std::move(frames), !records.empty());
     for (const copies::CopyEvent& event : copies_->take_events()) {
-      again_ = true;
-      if (const auto* noted = std::get_if<copies::LogLine>(&event)) {
-        std::cerr << "myrtlegrade: copies: " << noted->line << std::endl;
+      flush_again_ = true;
+      if (const auto* log_line = std::get_if<copies::LogLine>(&event)) {
+        std::cerr << "myrtlegrade: copies: " << log_line->line << std::endl;
       } else {
         on_event_(event);
       }
     }
   }
-  turning_ = false;
-  arm();
+  flushing_ = false;
+  schedule_wake();
 }
 
-void CopyNet::arm() {
+void CopyNet::schedule_wake() {
   const copies::Time at = copies_->next_wake();
   if (stopped_ || at == copies::Time::max()) return;
   timer_.expires_after(std::max(copies::Duration(0), at - now()));
   timer_.async_wait([self = shared_from_this()](boost::system::error_code error) {
     if (error || self->stopped_) return;
     self->copies_->wake(now());
-    self->turn();
+    self->flush();
   });
 }
 
 // ------------------------------------------------------------------------------------------ connections
 
-// What others are told they rely on: with durability `power` it is synced first. What says nothing new waits
-// its turn.
-void CopyNet::send_when_kept(std::vector<copies::Copies::OutgoingFrame> frames, bool changed) {
+// Other members rely on the frames that they receive: with durability `power` the records behind them are
+// synced first. Frames without new records are sent at once unless a sync is running, so that the order of
+// frames is kept.
+void CopyNet::send_when_durable(std::vector<copies::Copies::OutgoingFrame> frames, bool records_written) {
   if (frames.empty()) return;
-  if (!syncer_ || (!changed && syncer_->idle())) {
+  if (!syncer_ || (!records_written && syncer_->idle())) {
     for (const auto& frame : frames) send(frame);
     return;
   }
   const std::uint64_t size = file_.size();
   syncer_->run_after_sync([self = shared_from_this(), frames = std::move(frames), size](bool synced) {
     if (self->stopped_) return;
-    if (!synced) {  // what it covered may be gone: nothing is said any more, and others act on it
-      std::cerr << "myrtlegrade: copies: a sync has failed: no more are made or held" << std::endl;
+    if (!synced) {  // the records may be lost: this relay stops sending, and other members take over
+      std::cerr << "myrtlegrade: copies: sync failed: no more copies are made or stored" << std::endl;
       self->stop();
       return;
     }
@@ -192,33 +196,35 @@
   });
 }
 
-// What can't be sent is lost: it is said anew once there is a connection, or asked for again.
+// Drops the frame if there is no usable connection. The state machine repeats its contents once a connection
+// is established, or the peer requests them again.
 void CopyNet::send(const copies::Copies::OutgoingFrame& frame) {
   Peer& peer = peers_[frame.to.name];
-  const auto at = SteadyClock::now();
-  if (peer.stream &&
-      (peer.stream->queued() > kMostQueued || (peer.unanswered && at > *peer.unanswered + kAnswerWithin))) {
-    peer.stream->close();  // who reads from it takes it away
+  const auto steady_now = SteadyClock::now();
+  if (peer.stream && (peer.stream->queued() > kMaxQueuedBytes ||
+                      (peer.unanswered_since && steady_now > *peer.unanswered_since + kAnswerTimeout))) {
+    peer.stream->close();  // receive_frames() removes it
     return;
   }
   if (peer.stream) {
-    if (frame.expects_answer && !peer.unanswered) peer.unanswered = at;
+    if (frame.expects_answer && !peer.unanswered_since) peer.unanswered_since = steady_now;
     peer.stream->send_record(frame.frame);
     return;
   }
-  if (!frame.to.address || peer.connecting || at < peer.again) return;
+  if (!frame.to.address || peer.connecting || steady_now < peer.retry_at) return;
   peer.connecting = true;
   spawn(executor_, connect(frame.to));
 }
 
 RecordWriter CopyNet::hello(const std::string& to) const {
-  return RecordWriter(Hello::hello).number(kVersion).text(fleet_).text(name_).text(to);
+  return RecordWriter(Hello::hello).number(kProtocolVersion).text(fleet_).text(name_).text(to);
 }
 
-// Who it is; none: not one that this relay talks to.
+// Returns the name of the peer, or nothing if the frame is not a valid hello of another member of this fleet
+// to this relay.
 std::optional<std::string> CopyNet::read_hello(const std::string& frame) const {
   RecordReader in(frame);
-  if (in.kind<Hello>() != Hello::hello || in.number() != kVersion) return std::nullopt;
+  if (in.kind<Hello>() != Hello::hello || in.number() != kProtocolVersion) return std::nullopt;
   const std::string fleet = in.text(), from = in.text(), to = in.text();
   if (!in.good || !in.empty() || fleet != fleet_ || to != name_ || from.empty() || from == name_)
     return std::nullopt;
@@ -227,20 +233,20 @@
 
 asio::awaitable<void> CopyNet::connect(copies::MemberIdentity to) {
   const auto self = shared_from_this();
-  const auto stream = std::make_shared<Stream>(tcp::socket(executor_), kMostFrame, StreamUse::copies);
-  asio::steady_timer limit(executor_, kUpWithin);
+  const auto stream = std::make_shared<Stream>(tcp::socket(executor_), kMaxFrameBytes, StreamUse::copies);
+  asio::steady_timer limit(executor_, kConnectTimeout);
   limit.async_wait([stream](boost::system::error_code aborted) {
     if (!aborted) stream->close();
   });
   boost::system::error_code error;
-  // From its own address, so that what lies between knows whom it is from.
+  // Bound to the relay's own address, so that firewalls and other intermediaries can identify the sender.
   stream->socket().open(tcp::v4(), error);
   if (!error) stream->socket().bind({ip_of(config_.bind), 0}, error);
   std::optional<std::string> from;
   if (!error) {
-    const auto [refused] =
+    const auto [connect_error] =
         co_await stream->socket().async_connect({ip_of(to.address), to.address.port}, kAwait);
-    if (!refused) {
+    if (!connect_error) {
       stream->send(hello(to.name));
       const auto frame = co_await stream->receive();
       if (frame) from = read_hello(*frame);
@@ -251,13 +257,13 @@
   peer.connecting = false;
   if (stopped_ || from != to.name) {
     stream->close();
-    peer.pause = std::clamp(2 * peer.pause, std::chrono::milliseconds(kPauseFirst),
-                            std::chrono::milliseconds(kPauseMost));
-    peer.again = SteadyClock::now() + peer.pause;
+    peer.retry_pause = std::clamp(2 * peer.retry_pause, std::chrono::milliseconds(kMinRetryPause),
+                                  std::chrono::milliseconds(kMaxRetryPause));
+    peer.retry_at = SteadyClock::now() + peer.retry_pause;
     co_return;
   }
-  up(*from, stream);
-  co_await listen(stream, *from);
+  on_connected(*from, stream);
+  co_await receive_frames(stream, *from);
 }
 
 asio::awaitable<void> CopyNet::accept() {
@@ -266,63 +272,64 @@
     auto [error, socket] = co_await accept_next(StreamUse::copies, acceptor_);
     if (stopped_) co_return;
     if (error) {
-      retry_.expires_after(kAddressAgain);
+      retry_.expires_after(kListenRetryInterval);
       co_await retry_.async_wait(kAwait);
       continue;
     }
-    if (accepted_ >= copies_descriptors(config_) / 2) continue;  // closed: who needs it comes again
+    if (accepted_ >= copies_descriptors(config_) / 2)
+      continue;  // over the limit: closed, the peer connects again
     ++accepted_;
-    spawn(executor_, attend(std::make_shared<Stream>(std::move(socket), kMostFrame, StreamUse::copies)));
+    spawn(executor_, serve(std::make_shared<Stream>(std::move(socket), kMaxFrameBytes, StreamUse::copies)));
   }
 }
 
-asio::awaitable<void> CopyNet::attend(std::shared_ptr<Stream> stream) {
+asio::awaitable<void> CopyNet::serve(std::shared_ptr<Stream> stream) {
   const auto self = shared_from_this();
-  asio::steady_timer limit(executor_, kUpWithin);
+  asio::steady_timer limit(executor_, kConnectTimeout);
   limit.async_wait([stream](boost::system::error_code aborted) {
     if (!aborted) stream->close();
   });
   const auto frame = co_await stream->receive();
   limit.cancel();
   const auto from = frame ? read_hello(*frame) : std::nullopt;
-  if (frame && !from) ++unread_;
+  if (frame && !from) ++undecodable_frames_;
   if (from && !stopped_) {
     stream->send(hello(*from));
-    up(*from, stream);
-    co_await listen(stream, *from);
+    on_connected(*from, stream);
+    co_await receive_frames(stream, *from);
   }
   stream->close();
   --accepted_;
 }
 
-// The newest connection is the one that is written to; what still comes on an older one is read.
-void CopyNet::up(const std::string& name, const std::shared_ptr<Stream>& stream) {
+// Frames are sent on the newest connection to a peer. Older connections are still read until they close.
+void CopyNet::on_connected(const std::string& name, const std::shared_ptr<Stream>& stream) {
   boost::system::error_code ignored;
   stream->socket().set_option(tcp::no_delay(true), ignored);
   Peer& peer = peers_[name];
   peer.stream = stream;
-  peer.unanswered.reset();
-  peer.pause = {};
-  peer.again = {};
+  peer.unanswered_since.reset();
+  peer.retry_pause = {};
+  peer.retry_at = {};
   copies_->connected(now(), name);
-  turn();
+  flush();
 }
 
-asio::awaitable<void> CopyNet::listen(std::shared_ptr<Stream> stream, std::string from) {
+asio::awaitable<void> CopyNet::receive_frames(std::shared_ptr<Stream> stream, std::string from) {
   const auto self = shared_from_this();
   while (!stopped_) {
     const auto record = co_await stream->receive();
     if (!record || stopped_) break;
-    peers_[from].unanswered.reset();
+    peers_[from].unanswered_since.reset();
     const std::optional<copies::Frame> frame = copies::decode_frame(*record);
     if (!frame) {
-      if (unread_++ == 0)
+      if (undecodable_frames_++ == 0)
         std::cerr << "myrtlegrade: copies: a frame of " << from << " can't be read" << std::endl;
       break;
     }
     log_frame(log_, from, *frame);
     copies_->receive(now(), from, *frame);
-    turn();
+    flush();
   }
   stream->close();
   Peer& peer = peers_[from];
@@ -334,11 +341,11 @@
   json::array groups;
   std::size_t held = 0, own = 0, inherited = 0;
   for (const auto& g : copies_->groups(at)) {
-    json::array seats;
-    for (const copies::MemberIdentity& s : g.config.members) seats.emplace_back(s.name);
+    json::array members;
+    for (const copies::MemberIdentity& m : g.config.members) members.emplace_back(m.name);
     (g.is_owner ? g.self == 0 ? own : inherited : held) += g.live_count;
     groups.push_back({{"origin", g.id.origin},
-                      {"members", std::move(seats)},
+                      {"members", std::move(members)},
                       {"copies", g.config.copies},
                       {"owner", g.config.members[g.owner].name},
                       {"epoch", g.epoch},
@@ -367,7 +374,7 @@
                                         {"inherited", c.taken_over},
                                         {"expired", c.expired},
                                         {"foreign", c.foreign_messages},
-                                        {"unread", unread_}}},
+                                        {"unread", undecodable_frames_}}},
                                       {"groups", std::move(groups)}});
 }
 
--- a/relay/copy_net.h
+++ b/relay/copy_net.h
@@ -1,4 +1,5 @@
-// The relay's copies: sockets, clock and disk around the state machine of copies/.
+// Sockets, clock and disk for the relay's copies: runs the state machine of copies/ over TCP connections to
+// the other members and a file in the state folder.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -23,54 +24,58 @@
 
 namespace myrtlegrade {
 
+// Lives on one executor; not thread-safe. All members must be called on that executor.
 class CopyNet : public std::enable_shared_from_this<CopyNet> {
  public:
   using OnEvent = std::function<void(const valedrum::copies::CopyEvent&)>;
 
-  // Reads what the folder holds. Throws std::runtime_error where a later program wrote it.
+  // Reads the stored state from `folder`. Throws std::runtime_error if a newer version of the program wrote
+  // it.
   CopyNet(boost::asio::any_io_executor executor, const CopiesConfig& config, const FleetConfig& fleet,
           const std::string& name, const std::string& folder, std::uint64_t disk_bytes,
           valedrum::recovery::Durability durability, std::uint64_t seed, OnEvent on_event);
 
-  // An address that is not free yet is tried again.
+  // Listens and connects. Retries while the address is still in use, as it is during a handover.
   void start();
   void stop();
 
   valedrum::copies::Copies& copies() { return *copies_; }
-  // A clock that goes on while the process, or its machine, is stopped.
+  // The time on CLOCK_BOOTTIME, which also advances while the process or its machine is suspended.
   static valedrum::copies::Time now();
 
-  // Whom it may choose as holders, as the view has them.
-  void candidates(std::vector<valedrum::copies::Candidate> all);
-  // What others have to know of this one.
+  // Sets the members that may store copies for this relay, taken from the membership view.
+  void set_candidates(std::vector<valedrum::copies::Candidate> all);
+  // Returns the data that this relay publishes in its membership record for the other members.
   valedrum::copies::PublishedMember published() const;
 
-  // After anything that was told to copies(): disk first, then what others are told, then events.
-  void turn();
+  // Processes the output of copies(): writes records to disk, then sends frames, then delivers events. Must
+  // be called after each change made through copies().
+  void flush();
 
-  std::string state() const;  // in one line of JSON
+  // Returns the state of the groups and the counters as one line of JSON.
+  std::string state() const;
 
  private:
   using Stream = RecordStream<boost::asio::ip::tcp>;
   struct Peer {
-    std::shared_ptr<Stream> stream;  // one that is up: both have said who they are
+    std::shared_ptr<Stream> stream;  // established: both sides have identified themselves
     bool connecting = false;
-    std::chrono::steady_clock::time_point again{};  // no try before that
-    std::chrono::milliseconds pause{};
-    std::optional<std::chrono::steady_clock::time_point> unanswered;  // since when
+    std::chrono::steady_clock::time_point retry_at{};  // no connection attempt before this time
+    std::chrono::milliseconds retry_pause{};
+    std::optional<std::chrono::steady_clock::time_point> unanswered_since;  // of the oldest unanswered frame
   };
 
   bool open();
-  void arm();
-  void send_when_kept(std::vector<valedrum::copies::Copies::OutgoingFrame> frames, bool changed);
+  void schedule_wake();
+  void send_when_durable(std::vector<valedrum::copies::Copies::OutgoingFrame> frames, bool records_written);
   void send(const valedrum::copies::Copies::OutgoingFrame& frame);
   boost::asio::awaitable<void> accept();
-  boost::asio::awaitable<void> attend(std::shared_ptr<Stream> stream);
+  boost::asio::awaitable<void> serve(std::shared_ptr<Stream> stream);
   boost::asio::awaitable<void> connect(valedrum::copies::MemberIdentity to);
-  boost::asio::awaitable<void> listen(std::shared_ptr<Stream> stream, std::string from);
+  boost::asio::awaitable<void> receive_frames(std::shared_ptr<Stream> stream, std::string from);
   RecordWriter hello(const std::string& to) const;
   std::optional<std::string> read_hello(const std::string& frame) const;
-  void up(const std::string& name, const std::shared_ptr<Stream>& stream);
+  void on_connected(const std::string& name, const std::shared_ptr<Stream>& stream);
 
   boost::asio::any_io_executor executor_;
   CopiesConfig config_;
@@ -83,10 +88,10 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer timer_, retry_;
   std::map<std::string, Peer> peers_;
-  std::size_t accepted_ = 0;  // connections that others opened
-  bool stopped_ = false, waits_ = false, turning_ = false, again_ = false, disk_failed_ = false;
+  std::size_t accepted_ = 0;  // open connections that other members initiated
+  bool stopped_ = false, bind_failed_ = false, flushing_ = false, flush_again_ = false, disk_failed_ = false;
   EventLog log_{"copies"};
-  std::uint64_t unread_ = 0;  // frames that could not be read
+  std::uint64_t undecodable_frames_ = 0;  // outer word: unread
 };
 
 }  // namespace myrtlegrade
--- a/relay/fleet.cpp
+++ b/relay/fleet.cpp
@@ -27,10 +27,11 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr int kDatagramsATurn = 32;  // then others on the event loop have their turn
-constexpr auto kStreamWithin = 3s;   // for all of an exchange
-constexpr auto kAddressAgain = 100ms;
-constexpr unsigned kMostLines = 200;  // in ten seconds; what is more is counted
+constexpr int kMaxDatagramsPerWake = 32;  // lets other work on the event loop run in between
+constexpr auto kExchangeTimeout = 3s;     // for a whole exchange over a stream
+constexpr auto kListenRetryInterval = 100ms;
+constexpr auto kLogPeriod = 10s;
+constexpr unsigned kMaxLinesPerPeriod = 200;  // further lines are only counted
 
 asio::ip::address_v4 ip_of(const membership::Address& a) { return asio::ip::address_v4(a.ip); }
 
@@ -50,11 +51,11 @@
   self.name = name;
   self.machine = config.machine;
   self.zone = config.zone;
-  // A copied configuration has a copied seed: two processes must not pass for one.
+  // A copied configuration has the same seed, but two processes must never share an instance number.
   std::random_device device;
   self.instance = seed ^ (std::uint64_t{device()} << 32 | device());
-  const bool kept = config.settings.disabled_safeguard != membership::DisabledSafeguard::incarnation;
-  self.stamp.incarnation = kept ? identity_.incarnation() + 1 : 1;
+  const bool persistent = config.settings.disabled_safeguard != membership::DisabledSafeguard::incarnation;
+  self.stamp.incarnation = persistent ? identity_.incarnation() + 1 : 1;
   self.address = config.advertise;
   members_.emplace(config.settings, std::move(self), seed, now());
 }
@@ -86,9 +87,9 @@
 void Fleet::start() {
   if (stopped_) return;
   if (!open()) {
-    if (!std::exchange(waits_, true))
+    if (!std::exchange(bind_failed_, true))
       std::cerr << "myrtlegrade: fleet: " << to_text(config_.bind) << " is not free yet" << std::endl;
-    retry_.expires_after(kAddressAgain);
+    retry_.expires_after(kListenRetryInterval);
     retry_.async_wait([self = shared_from_this()](boost::system::error_code error) {
       if (!error) self->start();
     });
@@ -96,15 +97,15 @@
   }
   std::cerr << "myrtlegrade: fleet: " << config_.settings.fleet << ", at " << to_text(config_.bind)
             << ", reached at " << to_text(config_.advertise) << std::endl;
-  await_datagrams();
+  wait_for_datagrams();
   spawn(executor_, accept());
-  turn();
+  flush();
 }
 
 void Fleet::leave() {
   if (stopped_) return;
   members_->leave(now());
-  if (datagrams_.is_open()) turn();
+  if (datagrams_.is_open()) flush();
   stop();
 }
 
@@ -115,21 +116,23 @@
   streams_.close(ignored);
   timer_.cancel();
   retry_.cancel();
-  for (const Stream& s : served_) s->close();
-  if (asking_) asking_->close();
+  for (const Stream& s : incoming_) s->close();
+  if (outgoing_) outgoing_->close();
 }
 
 void Fleet::reseed(std::vector<membership::Address> seeds) {
   if (stopped_) return;
   members_->reseed(now(), std::move(seeds));
-  turn();
+  flush();
 }
 
-// What others hear must not be newer than what this relay knows after a crash.
-void Fleet::turn() {
+// The incarnation is written before anything is sent, since other members must not learn an incarnation that
+// this relay would not know after a crash.
+void Fleet::flush() {
   if (stopped_ || !datagrams_.is_open()) return;
   if (members_->incarnation() != identity_.incarnation() && !identity_.save(members_->incarnation())) {
-    std::cerr << "myrtlegrade: fleet: the incarnation can't be written; a restart learns it from others"
+    std::cerr << "myrtlegrade: fleet: cannot write the incarnation; after a restart it is learned from other "
+                 "members"
               << std::endl;
   }
   for (const membership::Datagram& d : members_->take_datagrams()) {
@@ -137,65 +140,67 @@
     datagrams_.send_to(asio::buffer(d.bytes), {ip_of(d.to), d.to.port}, 0, error);
     if (error) ++unsent_;
   }
-  for (membership::StreamRequest& a : members_->take_stream_requests()) spawn(executor_, ask(std::move(a)));
-  for (const membership::ViewEvent& c : members_->take_view_events()) log(c);
-  arm();
-  if (on_change_ && std::exchange(told_version_, members_->version()) != members_->version())
+  for (membership::StreamRequest& request : members_->take_stream_requests())
+    spawn(executor_, exchange(std::move(request)));
+  for (const membership::ViewEvent& event : members_->take_view_events()) log(event);
+  schedule_wake();
+  if (on_change_ && std::exchange(reported_version_, members_->version()) != members_->version())
     on_change_(*members_);
 }
 
 void Fleet::publish(std::uint32_t version, std::string bytes) {
   if (stopped_) return;
   members_->publish(now(), version, std::move(bytes));
-  turn();
+  flush();
 }
 
-void Fleet::on_change(std::function<void(const membership::Membership&)> told) {
-  on_change_ = std::move(told);
+void Fleet::on_change(std::function<void(const membership::Membership&)> callback) {
+  on_change_ = std::move(callback);
   on_change_(*members_);
 }
 
-void Fleet::log(const membership::ViewEvent& c) {
+void Fleet::log(const membership::ViewEvent& event) {
   const auto at = SteadyClock::now();
-  if (at > lines_from_ + 10s) {
-    if (lines_left_out_ > 0)
-      std::cerr << "myrtlegrade: fleet: " << lines_left_out_ << " lines more" << std::endl;
-    lines_from_ = at;
-    lines_ = lines_left_out_ = 0;
+  if (at > log_period_start_ + kLogPeriod) {
+    if (suppressed_lines_ > 0)
+      std::cerr << "myrtlegrade: fleet: " << suppressed_lines_ << " lines more" << std::endl;
+    log_period_start_ = at;
+    logged_lines_ = suppressed_lines_ = 0;
   }
-  if (++lines_ > kMostLines) {
-    ++lines_left_out_;
+  if (++logged_lines_ > kMaxLinesPerPeriod) {
+    ++suppressed_lines_;
     return;
   }
-  std::cerr << "myrtlegrade: fleet: " << c.member << (c.member.empty() ? "" : " ") << c.description
-            << std::endl;
+  std::cerr << "myrtlegrade: fleet: " << event.member << (event.member.empty() ? "" : " ")
+            << event.description << std::endl;
 }
 
-void Fleet::arm() {
+void Fleet::schedule_wake() {
   const membership::Time at = members_->next_wake();
   if (at == membership::Time::max()) return;
   timer_.expires_at(SteadyClock::time_point(at.time_since_epoch()));
   timer_.async_wait([self = shared_from_this()](boost::system::error_code error) {
     if (error || self->stopped_) return;
     self->members_->wake(now());
-    self->turn();
+    self->flush();
   });
 }
 
-void Fleet::await_datagrams() {
+void Fleet::wait_for_datagrams() {
   datagrams_.async_wait(udp::socket::wait_read, [self = shared_from_this()](boost::system::error_code error) {
     if (error || self->stopped_) return;
-    for (int n = 0; n < kDatagramsATurn; ++n) {
+    for (int n = 0; n < kMaxDatagramsPerWake; ++n) {
       udp::endpoint from;
-      boost::system::error_code none;
-      const std::size_t size = self->datagrams_.receive_from(asio::buffer(self->buffer_), from, 0, none);
-      if (none == asio::error::would_block || none == asio::error::try_again) break;
-      if (none) continue;  // a port that nobody listens at said so: the probe finds that by itself
+      boost::system::error_code receive_error;
+      const std::size_t size =
+          self->datagrams_.receive_from(asio::buffer(self->buffer_), from, 0, receive_error);
+      if (receive_error == asio::error::would_block || receive_error == asio::error::try_again) break;
+      if (receive_error) continue;  // e.g. ICMP port unreachable: the probe's own timeout detects it
       self->members_->receive(now(), {from.address().to_v4().to_uint(), from.port()},
                               {self->buffer_.data(), size});
     }
-    self->turn();
-    self->await_datagrams();
+    self->flush();
+    self->wait_for_datagrams();
   });
 }
 
@@ -205,57 +210,57 @@
     auto [error, socket] = co_await accept_next(StreamUse::fleet, streams_);
     if (stopped_) co_return;
     if (error) {
-      retry_.expires_after(kAddressAgain);
+      retry_.expires_after(kListenRetryInterval);
       co_await retry_.async_wait(kAwait);
       continue;
     }
-    if (served_.size() >= kFleetStreams) continue;  // closed: who asks comes again
+    if (incoming_.size() >= kFleetStreams) continue;  // over the limit: closed, the peer tries again
     spawn(executor_,
-          serve(served_.emplace_back(std::make_shared<boost::beast::tcp_stream>(std::move(socket)))));
+          serve(incoming_.emplace_back(std::make_shared<boost::beast::tcp_stream>(std::move(socket)))));
   }
 }
 
 asio::awaitable<void> Fleet::serve(Stream stream) {
   const auto self = shared_from_this();
-  stream->expires_after(kStreamWithin);
+  stream->expires_after(kExchangeTimeout);
   const auto frame = co_await read_frame(*stream);
   if (frame && !stopped_) {
     const std::string reply = members_->serve(now(), *frame);
-    turn();
+    flush();
     const std::string bytes = framed(reply);
     if (!reply.empty()) (void)co_await write_all(StreamUse::fleet, *stream, bytes);
   }
   stream->close();
-  served_.remove(stream);
+  incoming_.remove(stream);
 }
 
-asio::awaitable<void> Fleet::ask(membership::StreamRequest a) {
+asio::awaitable<void> Fleet::exchange(membership::StreamRequest request) {
   const auto self = shared_from_this();
   const auto stream = std::make_shared<boost::beast::tcp_stream>(executor_);
-  asking_ = stream;
-  stream->expires_after(kStreamWithin);
+  outgoing_ = stream;
+  stream->expires_after(kExchangeTimeout);
   boost::system::error_code error;
-  // From its own address, so that others and what lies between know whom it is from.
+  // Bound to the relay's own address, so that the peer and intermediaries can identify the sender.
   stream->socket().open(tcp::v4(), error);
   if (!error) stream->socket().bind({ip_of(config_.bind), 0}, error);
   std::optional<std::string> reply;
   if (!error) {
-    const auto [refused] = co_await stream->async_connect({ip_of(a.to), a.to.port}, kAwait);
-    if (!refused) {
-      const std::string bytes = framed(a.frame);
-      const auto cut = co_await write_all(StreamUse::fleet, *stream, bytes);
-      if (!cut) reply = co_await read_frame(*stream);
+    const auto [connect_error] = co_await stream->async_connect({ip_of(request.to), request.to.port}, kAwait);
+    if (!connect_error) {
+      const std::string bytes = framed(request.frame);
+      const auto write_error = co_await write_all(StreamUse::fleet, *stream, bytes);
+      if (!write_error) reply = co_await read_frame(*stream);
     }
   }
   stream->close();
-  if (asking_ == stream) asking_ = nullptr;
+  if (outgoing_ == stream) outgoing_ = nullptr;
   if (stopped_) co_return;
   if (reply) {
-    members_->on_response(now(), a.token, *reply);
+    members_->on_response(now(), request.token, *reply);
   } else {
-    members_->on_request_failed(now(), a.token);
+    members_->on_request_failed(now(), request.token);
   }
-  turn();
+  flush();
 }
 
 std::string Fleet::view() const {
--- a/relay/fleet.h
+++ b/relay/fleet.h
@@ -1,4 +1,4 @@
-// The relay's place in the fleet: sockets, clock and disk around the state machine of membership/.
+// The relay's fleet membership: sockets, clock and disk around the state machine of membership/.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -20,25 +20,28 @@
 
 namespace myrtlegrade {
 
+// Lives on one executor; not thread-safe. All members must be called on that executor.
 class Fleet : public std::enable_shared_from_this<Fleet> {
  public:
-  // Throws std::runtime_error where the folder was written by a later program. `seed` draws all that is
-  // drawn.
+  // Throws std::runtime_error if a newer version of the program wrote the folder. `seed` seeds all random
+  // draws of the state machine.
   Fleet(boost::asio::any_io_executor executor, const FleetConfig& config, const std::string& name,
         const std::string& folder, std::uint64_t seed);
 
-  // An address that is not free yet is tried again: the relay serves meanwhile.
+  // Listens and joins. Retries while the address is still in use; the relay serves clients meanwhile.
   void start();
-  // Says to some that it leaves, and stops. Without that it only stops: a successor is the same member.
+  // Announces to some members that this one leaves, then stops.
   void leave();
+  // Stops without an announcement, as before a handover: the successor is the same member.
   void stop();
 
+  // Replaces the addresses of the seed members.
   void reseed(std::vector<valedrum::membership::Address> seeds);
-  // What this relay publishes in its record, for the parts that build on the view.
+  // Sets the data that this relay publishes in its membership record for modules that build on the view.
   void publish(std::uint32_t version, std::string bytes);
-  // Called whenever the view has changed.
-  void on_change(std::function<void(const valedrum::membership::Membership&)> told);
-  // The view as this relay has it, in one line of JSON.
+  // Sets a callback that runs at once and whenever the view has changed.
+  void on_change(std::function<void(const valedrum::membership::Membership&)> callback);
+  // Returns this relay's view of the fleet as one line of JSON.
   std::string view() const;
 
  private:
@@ -46,13 +49,15 @@
 
   static valedrum::membership::Time now();
   bool open();
-  void turn();  // after each thing that happened: disk first, then what is to be sent
-  void log(const valedrum::membership::ViewEvent& change);
-  void arm();
-  void await_datagrams();
+  // Processes the output of the state machine: writes the incarnation to disk, then sends. Must be called
+  // after each change of its state.
+  void flush();
+  void log(const valedrum::membership::ViewEvent& event);
+  void schedule_wake();
+  void wait_for_datagrams();
   boost::asio::awaitable<void> accept();
   boost::asio::awaitable<void> serve(Stream stream);
-  boost::asio::awaitable<void> ask(valedrum::membership::StreamRequest ask);
+  boost::asio::awaitable<void> exchange(valedrum::membership::StreamRequest request);
 
   boost::asio::any_io_executor executor_;
   FleetConfig config_;
@@ -61,15 +66,15 @@
   boost::asio::ip::udp::socket datagrams_;
   boost::asio::ip::tcp::acceptor streams_;
   boost::asio::steady_timer timer_, retry_;
-  std::list<Stream> served_;
-  Stream asking_;
-  bool stopped_ = false, waits_ = false;
+  std::list<Stream> incoming_;
+  Stream outgoing_;  // of the latest exchange that this relay started
+  bool stopped_ = false, bind_failed_ = false;
   std::function<void(const valedrum::membership::Membership&)> on_change_;
-  std::uint64_t told_version_ = 0;
+  std::uint64_t reported_version_ = 0;  // of the view that on_change_ was last called with
   std::vector<char> buffer_;
-  std::uint64_t unsent_ = 0;  // datagrams that the kernel did not take
-  std::chrono::steady_clock::time_point lines_from_{};
-  unsigned lines_ = 0, lines_left_out_ = 0;
+  std::uint64_t unsent_ = 0;  // datagrams that the kernel rejected
+  std::chrono::steady_clock::time_point log_period_start_{};
+  unsigned logged_lines_ = 0, suppressed_lines_ = 0;
 };
 
 }  // namespace myrtlegrade
--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -250,7 +250,7 @@
       if (said)
         all.push_back({{r.name, said->storage_id, said->address}, r.machine, r.zone, said->free_eighths});
     }
-    net->candidates(std::move(all));
+    net->set_candidates(std::move(all));
   });
 }
 
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -418,7 +418,7 @@
   }
   report_completions(flush_journal());
   if (journaled) call_when_recorded(std::move(calls));
-  if (copies_) copies_->turn();
+  if (copies_) copies_->flush();
 }
 
 // Combines the sends of one step to one host into calls of up to the batch size of the host's kind.
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -1,5 +1,6 @@
-// The relay's dealings with copies: what has to be known to others before it is promised or done, and what
-// others had begun. Whether something is sent, and where, is the module's to say here too.
+// The part of class Relay that replicates accepted messages to other relays (the copies group). It waits for
+// replication before a message is accepted, called or handed back, and takes over messages that other relays
+// accepted. As elsewhere in the relay, the decision module alone decides whether and where a message is sent.
 #include <iostream>
 #include <utility>
 
@@ -18,7 +19,7 @@
 
 namespace {
 
-// The same moment on the clock that copies tell time by, and back.
+// Convert between the relay's timestamps and the clock of the copies state machine.
 copies::Time to_copies(const Timestamp& at) { return CopyNet::now() + until(at, read_clocks()); }
 Timestamp from_copies(copies::Time at) { return read_clocks() + (at - CopyNet::now()); }
 
@@ -32,8 +33,8 @@
                                       [this](const copies::CopyEvent& event) { on_copy_event(event); });
 }
 
-// One that is held here for another relay, or that this one has found and may not act on yet: its promise
-// stands.
+// Answers a request for a message that is stored here as a copy for another relay, or that this relay found
+// in its own state and does not own yet: a live one is already accepted. Returns whether it answered.
 bool Relay::answer_if_copied(const SubmittedMessage& message, const Server::Respond& respond) const {
   const copies::Item* item = copies_ ? copies_->copies().find(message.id) : nullptr;
   if (!item) return false;
@@ -64,7 +65,7 @@
   if (!syncer_) return then(true);
   syncer_->run_after_sync([this, then = std::move(then)](bool synced) {
     if (!synced) {
-      std::cerr << "myrtlegrade: a sync of the journal has failed: it is written anew before more is taken on"
+      std::cerr << "myrtlegrade: sync of the journal failed: rewriting it before accepting more messages"
                 << std::endl;
       journal_.mark_sync_failed();
       schedule_journal_retry();
@@ -81,27 +82,28 @@
     pending_acceptances_.emplace(copies_->copies().wait_for(CopyNet::now(), {found->second.payload->id},
                                                             copies::Copies::Requirement::acceptance),
                                  id);
-    copies_->turn();
+    copies_->flush();
   });
 }
 
-void Relay::finish_acceptance(MessageId id, bool good) {
+void Relay::finish_acceptance(MessageId id, bool succeeded) {
   const auto found = open_.find(id);
   if (found == open_.end() || found->second.completed || !found->second.respond) return;
-  if (!good) return cancel_acceptance(id);
+  if (!succeeded) return cancel_acceptance(id);
   ++counters_.accepted;
   std::exchange(found->second.respond, nullptr)({Answer::Kind::accepted});
 }
 
-// Its client is told to come again: it was not promised anything yet.
+// Cancels an acceptance that could not be made durable or replicated. Its client has no answer yet, so it is
+// asked to submit the message again.
 void Relay::cancel_acceptance(MessageId id) {
   OpenMessage& open = open_.at(id);
-  const bool may_be_found = journal_.may_survive_restart(open.payload->id);
+  const bool may_survive_restart = journal_.may_survive_restart(open.payload->id);
   journal_.complete(open.payload->id);
   if (copies_) copies_->copies().complete(CopyNet::now(), open.payload->id);
-  // Refused, its client hands it in again: then a restart must not find it here.
-  const bool forgotten = flush_journal() || !may_be_found;
-  const Answer::Kind kind = forgotten ? Answer::Kind::refused : Answer::Kind::failed;
+  // A client resubmits a refused message, so a restart of this relay must not restore it too.
+  const bool removed = flush_journal() || !may_survive_restart;
+  const Answer::Kind kind = removed ? Answer::Kind::refused : Answer::Kind::failed;
   if (open.respond) std::exchange(open.respond, nullptr)({kind, whole_ms(config_.settings.max_wait_hint)});
   post_event(vetchhinge::Withdrawn{id});
   close_message(id);
@@ -121,7 +123,7 @@
         if (!pending) return;
         if (!synced) return release_call(std::move(pending.mapped()), false);
         await_replication(std::move(pending.mapped()));
-        if (copies_) copies_->turn();
+        if (copies_) copies_->flush();
       });
     }
   }
@@ -136,29 +138,31 @@
   pending_calls_.emplace(ticket, std::move(call));
 }
 
-// What was called back meanwhile, or is for a message that is over, is as one that could not leave.
-void Relay::release_call(PendingCall call, bool good) {
+// Sends the call, or reports its attempts as not sent where replication failed. A call that was withheld
+// while it waited, and messages that were completed meanwhile, count as not sent too.
+void Relay::release_call(PendingCall call, bool succeeded) {
   const Endpoints::Host& host = endpoints_.at(call.host);
   const bool waited = copies_ || syncer_;
-  if (waited && (closing_ || host.withheld != call.withhold_count)) good = false;
-  std::vector<CallItem> go;
+  if (waited && (closing_ || host.withheld != call.withhold_count)) succeeded = false;
+  std::vector<CallItem> to_send;
   for (CallItem& item : call.items) {
-    if (good && !(waited && open_.at(item.message).completed)) {
-      go.push_back(std::move(item));
+    if (succeeded && !(waited && open_.at(item.message).completed)) {
+      to_send.push_back(std::move(item));
     } else {
       on_outcome(call.host, item, {Result::not_sent, false, {}, {}});
     }
   }
-  if (go.empty()) return on_call_ended(call.number, CallEnd::withheld);
-  host_client_.call(call.number, call.host, host.address, std::move(go));
+  if (to_send.empty()) return on_call_ended(call.number, CallEnd::withheld);
+  host_client_.call(call.number, call.host, host.address, std::move(to_send));
 }
 
-// Handed back, its client comes with it again: work that may not be repeated must not be sent by others any
-// more by then. All other notices do no harm to what others may do.
+// A client resubmits a message that is handed back. If the message may run at most once, no other relay may
+// still be able to send it by then, so its notice waits until the other members know of it. All other notices
+// are sent at once.
 void Relay::send_notice(Notice notice) {
   const auto found = ids_.find(notice.message);
-  const bool once = found != ids_.end() && is_at_most_once(open_.at(found->second).cls);
-  const bool waits = notice.handed_back && once;
+  const bool at_most_once = found != ids_.end() && is_at_most_once(open_.at(found->second).cls);
+  const bool waits = notice.handed_back && at_most_once;
   if (copies_)
     copies_->copies().set_pending_notice(CopyNet::now(), notice.message,
                                          {notice.handed_back, notice.retry_in});
@@ -168,7 +172,7 @@
     when_durable(
         [this, notice = std::move(notice)](bool synced) { send_notice_when_replicated(notice, synced); });
   }
-  if (copies_) copies_->turn();
+  if (copies_) copies_->flush();
 }
 
 void Relay::send_notice_when_replicated(Notice notice, bool durable) {
@@ -177,64 +181,66 @@
   const auto ticket =
       copies_->copies().wait_for(CopyNet::now(), {notice.message}, copies::Copies::Requirement::notice);
   pending_notices_.emplace(ticket, std::move(notice));
-  copies_->turn();
+  copies_->flush();
 }
 
 void Relay::on_notice_settled(const std::string& message) {
   journal_.settle_notice(message);
   if (!copies_) return;
   copies_->copies().complete(CopyNet::now(), message);
-  copies_->turn();
+  copies_->flush();
 }
 
 // -------------------------------------------------------------------------------------------- events
 
 void Relay::on_copy_event(const copies::CopyEvent& event) {
-  if (const auto* done = std::get_if<copies::TicketCompleted>(&event)) return on_ticket_completed(*done);
-  if (const auto* inherited = std::get_if<copies::OwnershipGained>(&event))
-    return on_ownership_gained(*inherited);
+  if (const auto* completed = std::get_if<copies::TicketCompleted>(&event))
+    return on_ticket_completed(*completed);
+  if (const auto* gained = std::get_if<copies::OwnershipGained>(&event)) return on_ownership_gained(*gained);
   if (const auto* lost = std::get_if<copies::OwnershipLost>(&event)) return on_ownership_lost(lost->id);
-  if (const auto* over = std::get_if<copies::Expired>(&event)) return on_expired(*over);
-  if (const auto* ended = std::get_if<copies::CompletedElsewhere>(&event)) {
-    if (unconfirmed_.contains(ended->id)) {
-      journal_.complete(ended->id);
-      close_unconfirmed(ended->id);
+  if (const auto* expiry = std::get_if<copies::Expired>(&event)) return on_expired(*expiry);
+  if (const auto* elsewhere = std::get_if<copies::CompletedElsewhere>(&event)) {
+    if (unconfirmed_.contains(elsewhere->id)) {
+      journal_.complete(elsewhere->id);
+      close_unconfirmed(elsewhere->id);
     }
   }
 }
 
-void Relay::on_ticket_completed(const copies::TicketCompleted& done) {
-  if (const auto promised = pending_acceptances_.extract(done.ticket)) {
-    finish_acceptance(promised.mapped(), done.succeeded);
-  } else if (auto pending = pending_calls_.extract(done.ticket)) {
-    release_call(std::move(pending.mapped()), done.succeeded);
-  } else if (const auto untold = pending_notices_.extract(done.ticket)) {
-    Notice& notice = untold.mapped();
-    if (!done.succeeded && !copies_->copies().is_owner(notice.message)) {  // another ends it
+void Relay::on_ticket_completed(const copies::TicketCompleted& completed) {
+  if (const auto acceptance = pending_acceptances_.extract(completed.ticket)) {
+    finish_acceptance(acceptance.mapped(), completed.succeeded);
+  } else if (auto pending = pending_calls_.extract(completed.ticket)) {
+    release_call(std::move(pending.mapped()), completed.succeeded);
+  } else if (const auto pending_notice = pending_notices_.extract(completed.ticket)) {
+    Notice& notice = pending_notice.mapped();
+    if (!completed.succeeded && !copies_->copies().is_owner(notice.message)) {  // the new owner completes it
       journal_.settle_notice(notice.message);
       return;
     }
-    // Nobody could be told: one that may send it still must find it failed, not back with its client.
-    notice.handed_back = notice.handed_back && done.succeeded;
+    // No other member could be informed. One of them may still send the message, so it is reported as failed
+    // and not as handed back to its client.
+    notice.handed_back = notice.handed_back && completed.succeeded;
     discovery_.send(std::move(notice));
   }
 }
 
-// To be brought to its end as what a journal holds after a restart.
-void Relay::on_ownership_gained(const copies::OwnershipGained& inherited) {
-  if (closing_) return;  // it takes no further step: its lease runs out, and another inherits
-  const std::string& id = inherited.id;
-  const copies::Item& item = inherited.item;
+// Takes over a message whose ownership this relay gained, as it restores messages from its journal after a
+// restart.
+void Relay::on_ownership_gained(const copies::OwnershipGained& gained) {
+  if (closing_) return;  // the lease of a closing relay runs out, and another member becomes owner
+  const std::string& id = gained.id;
+  const copies::Item& item = gained.item;
   if (const auto own = ids_.find(id); own != ids_.end()) {
     if (open_.at(own->second).completed)
-      deferred_ownership_.insert_or_assign(id, inherited);  // its own calls are still out
+      deferred_ownership_.insert_or_assign(id, gained);  // its own calls are still in flight
     return;
   }
   if (complete_if_delivered(id)) return;
-  // It was given up here without the others' leave. What is remembered as taken or as handed back may have
-  // been theirs to end.
-  if (const CompletedMessage* const end = journal_.find_completed(id);
-      end && end->reply == CompletedMessage::Reply::failed)
+  // This relay reported the message as failed without the agreement of the group, so it completes it there. A
+  // message recorded as accepted or handed back may belong to another owner and is taken over.
+  if (const CompletedMessage* const record = journal_.find_completed(id);
+      record && record->reply == CompletedMessage::Reply::failed)
     return copies_->copies().complete(CopyNet::now(), id);
   auto found = unconfirmed_.extract(id);
   if (!item.payload || !config_.dialect.classes.find(item.payload->cls)) {
@@ -249,13 +255,13 @@
                        item.payload->body,
                        from_copies(item.deadline),
                        {}};
-  for (const copies::Attempt& a : item.attempts) {
-    stored.attempts.push_back(
-        {a.host, a.zone, from_copies(a.sent_at), a.state != copies::AttemptState::never_ran});
+  for (const copies::Attempt& attempt : item.attempts) {
+    stored.attempts.push_back({attempt.host, attempt.zone, from_copies(attempt.sent_at),
+                               attempt.state != copies::AttemptState::never_ran});
   }
-  std::optional<HandedOverAttempt> out;
+  std::optional<HandedOverAttempt> predecessor_call;
   if (found) {
-    out = found.mapped().predecessor_call;
+    predecessor_call = found.mapped().predecessor_call;
   } else {
     journal_.accept(stored);
     for (std::uint32_t n = 0; n < stored.attempts.size(); ++n) {
@@ -264,12 +270,13 @@
     }
     journal_.flush();
   }
-  restore_message(stored, out ? &*out : nullptr, inherited.orphaned);
-  if (out) apply_reported(*out);
+  restore_message(stored, predecessor_call ? &*predecessor_call : nullptr, gained.orphaned);
+  if (predecessor_call) apply_reported(*predecessor_call);
   schedule_step();
 }
 
-// Another may act on it. What is out ends here, and says nothing any more.
+// Closes a message whose ownership this relay lost: another member may act on it now. Outcomes of its calls
+// that are still in flight are no longer reported.
 void Relay::on_ownership_lost(const std::string& id) {
   deferred_ownership_.erase(id);
   const auto found = ids_.find(id);
@@ -279,7 +286,7 @@
   const MessageId message = found->second;
   std::erase_if(pending_completions_,
                 [message](const PendingCompletion& end) { return end.message == message; });
-  if (open.respond) {  // not promised to its client yet: it may come again
+  if (open.respond) {  // not accepted yet: its client may submit it again
     journal_.complete(id);
     std::exchange(open.respond, nullptr)({Answer::Kind::refused, whole_ms(config_.settings.max_wait_hint)});
   } else {
@@ -289,22 +296,22 @@
   close_message(message);
 }
 
-void Relay::on_expired(const copies::Expired& over) {
-  const auto own = ids_.find(over.id);
-  if (own != ids_.end() && !open_.at(own->second).completed) return;  // the module ends it
-  if (complete_if_delivered(over.id)) return;
-  MessageTrace::event(over.id, "expired");
-  close_unconfirmed(over.id);
-  Notice notice{over.id, over.notice.handed_back, whole_ms(over.notice.retry_in)};
-  if (const copies::Item* item = copies_->copies().find(over.id))
+void Relay::on_expired(const copies::Expired& event) {
+  const auto own = ids_.find(event.id);
+  if (own != ids_.end() && !open_.at(own->second).completed) return;  // the decision module completes it
+  if (complete_if_delivered(event.id)) return;
+  MessageTrace::event(event.id, "expired");
+  close_unconfirmed(event.id);
+  Notice notice{event.id, event.notice.handed_back, whole_ms(event.notice.retry_in)};
+  if (const copies::Item* item = copies_->copies().find(event.id))
     notice.due_by = from_copies(item->deadline).steady + budgets::kNoticeDeadline;
   journal_.complete_with_notice(notice);
   journal_.flush();
   discovery_.send(std::move(notice));
 }
 
-// Before this process gives over: what waits for others' word is taken back, for the next one knows nothing
-// of it.
+// Cancels calls and acceptances that still wait for replication. Runs before a handover, since the successor
+// does not learn of them.
 void Relay::cancel_pending() {
   if (!copies_) return;
   for (auto& [ticket, call] : std::exchange(pending_calls_, {})) {
@@ -317,7 +324,7 @@
   }
   for (const MessageId id : unanswered) cancel_acceptance(id);
   if (!copies_) return;
-  copies_->turn();
+  copies_->flush();
   copies_->stop();
 }
 
--- a/tests/copies_relays_test.cpp
+++ b/tests/copies_relays_test.cpp
@@ -1,4 +1,4 @@
-// Relays that make copies, as processes: what the one that is left owes.
+// Tests of relay processes that replicate messages: the duties of the last surviving relay.
 #include "relay_fixture.h"
 
 namespace myrtlegrade::test {
@@ -8,10 +8,10 @@
  protected:
   static constexpr int kRelays = 3;
 
-  // Each on an address of its own, which no other test has.
+  // Returns an address that no other test and no other relay of this test uses.
   static std::string at(int relay, const char* port) {
-    const int own = ::getpid();
-    return "127." + std::to_string(64 + (own >> 8) % 64) + '.' + std::to_string(own & 255) + '.' +
+    const int pid = ::getpid();
+    return "127." + std::to_string(64 + (pid >> 8) % 64) + '.' + std::to_string(pid & 255) + '.' +
            std::to_string(relay + 1) + ':' + port;
   }
   void start_all() {
@@ -31,7 +31,8 @@
     }
     address_ = relays_.front().address();
   }
-  bool wait_copied() {  // until the first has found its holders
+  // Waits until the first relay accepts messages, that is, has members that store its copies.
+  bool wait_copied() {
     const auto limit = SteadyClock::now() + 20s;
     for (int i = 0; SteadyClock::now() < limit; ++i) {
       if (submit("warm-" + std::to_string(i), "note", 2) == 202U) return true;
@@ -45,33 +46,34 @@
   std::list<Process> relays_;
 };
 
-// The owner and one holder are killed; the other holder is held up once, for the 0.15 s that the page allows.
-// Ends 510 ms apart fall into each phase of what it does each 100 ms; a hold-up begins as they fall due, or
-// when half of the time that a notice is owed within has gone.
+// Guards against late notices from the last surviving relay. The owner and one copy holder are killed; the
+// other holder is stopped for 0.15 s per message, the longest stall that the protocol allows. Deadlines 510
+// ms apart fall into each phase of the relay's 100 ms cycle. A stall begins at the deadline, or when half of
+// the time allowed for the notice has passed.
 TEST_F(CopiesRelaysTest, AHolderAloneThatIsHeldUpEndsMessagesInTime) {
-  constexpr auto kFirst = 2500ms, kApart = 510ms, kOwed = 300ms, kHoldUp = 150ms;
+  constexpr auto kFirstTimeout = 2500ms, kInterval = 510ms, kNoticeDeadline = 300ms, kStall = 150ms;
   constexpr int kMessages = 12;
   add_host("h", 2, "plain", kAccept);
   add_host("silent", 3, "plain", silent());
   start_all();
   ASSERT_TRUE(wait_copied());
-  std::vector<SteadyClock::time_point> ends;
+  std::vector<SteadyClock::time_point> deadlines;
   for (int i = 0; i < kMessages; ++i) {
-    const auto lasts = kFirst + i * kApart;
-    ends.push_back(SteadyClock::now() + lasts);
+    const auto timeout = kFirstTimeout + i * kInterval;
+    deadlines.push_back(SteadyClock::now() + timeout);
     const Request request =
-        with_timeout(message("m" + std::to_string(i), "note", 3), static_cast<int>(lasts / 1ms));
+        with_timeout(message("m" + std::to_string(i), "note", 3), static_cast<int>(timeout / 1ms));
     ASSERT_EQ(ask(address_, request).result_int(), 202U);
   }
   for (auto relay = relays_.begin(); relay != std::prev(relays_.end()); ++relay) relay->signal(SIGKILL);
   int late = 0;
   for (int i = 0; i < kMessages; ++i) {
-    const auto end = ends[static_cast<std::size_t>(i)];
-    std::this_thread::sleep_until(end + (i < 2 ? 0ms : kOwed - kHoldUp + 1ms));
+    const auto deadline = deadlines[static_cast<std::size_t>(i)];
+    std::this_thread::sleep_until(deadline + (i < 2 ? 0ms : kNoticeDeadline - kStall + 1ms));
     relays_.back().signal(SIGSTOP);
-    std::this_thread::sleep_for(kHoldUp);
+    std::this_thread::sleep_for(kStall);
     relays_.back().signal(SIGCONT);
-    std::this_thread::sleep_until(end + kOwed);
+    std::this_thread::sleep_until(deadline + kNoticeDeadline);
     late += noticed("m" + std::to_string(i)) ? 0 : 1;
   }
   EXPECT_EQ(late, 0) << "of " << kMessages;
