--- a/catalog/endpoint_table.h
+++ b/catalog/endpoint_table.h
@@ -1,7 +1,7 @@
-// The list of endpoints as a compact table: 36 bytes a record, 4 of index, and the id's text with one byte
-// before it (docs/list.md has the figures). One put or erase costs the same at any size: storage is in pieces
-// that are never moved, the indices grow by a bucket at a time, and holes among the ids are closed a few at
-// each change.
+// The list of endpoints as a compact table. An entry takes 36 bytes of record, 4 of index, and its id with a
+// length byte (docs/list.md has the figures). The cost of a put or an erase does not depend on the size of
+// the table: storage is in chunks that never move, the indices grow one bucket at a time, and holes between
+// ids are compacted a few strings at each change.
 #pragma once
 
 #include <cstddef>
@@ -16,60 +16,69 @@
 
 namespace valedrum::catalog {
 
-// A slot is a private number of the table: an entry keeps it until it is erased, then another may have it.
+// Maps endpoint ids to entries, with an index by destination. A slot is the table's own number for an entry:
+// the entry keeps it until it is erased, after which another entry may use it.
 class EndpointTable {
  public:
   EndpointTable();
   ~EndpointTable();
-  EndpointTable(EndpointTable&&) noexcept;  // what has been moved from may only be assigned to or destroyed
+  EndpointTable(EndpointTable&&) noexcept;  // a moved-from table may only be assigned to or destroyed
   EndpointTable& operator=(EndpointTable&&) noexcept;
 
   std::optional<Slot> find(std::string_view id) const;
-  Entry at(
-      Slot slot) const;  // of one that find, put, slots_of_cell or for_each has given; texts as Entry says
 
-  // All of a destination, in the order in which they were put there first; `out` is cleared. One that moves
-  // to another cell comes last there.
+  // Returns the entry of a slot that find, put, slots_of_cell or for_each returned. Its strings are valid
+  // until the next change of the table.
+  Entry at(Slot slot) const;
+
+  // Replaces `out` by the slots of all entries of a destination, in the order in which they were added to it.
+  // An entry that moves to another destination is appended there.
   void slots_of_cell(std::uint64_t cell, std::vector<Slot>& out) const;
-  bool has_cell(std::uint64_t cell) const;  // an entry of it, of whatever state, is in the table
-  std::size_t cell_count() const;           // destinations with an entry
 
-  // New, or in place of the one with its id. None, and nothing has changed: no id, a text over kMaxTextBytes,
-  // or more pairs of zone and kind than ZoneKindPool::kMost. The entry may look at texts of this table.
+  // Returns whether the destination has an entry, in any state.
+  bool has_cell(std::uint64_t cell) const;
+  std::size_t cell_count() const;  // number of destinations that have an entry
+
+  // Adds an entry or replaces the one with the same id. Returns nullopt, and changes nothing, if the id is
+  // empty, if a string exceeds kMaxTextBytes or if there would be more than ZoneKindPool::kMaxPairs pairs of
+  // zone and kind. The strings of `entry` may belong to this table.
   std::optional<Slot> put(const Entry& entry);
-  bool erase(std::string_view id);  // false: there is none
+  // Returns false if there is no such entry.
+  bool erase(std::string_view id);
 
   std::size_t size() const;
-  std::size_t bytes() const;  // in memory
+  std::size_t bytes() const;  // resident memory
 
-  // The slots that were ever given out are below this: with slot_end() as the end, for_each sees all entries.
+  // Returns the end of the range of slots in use: all entries are in slots below it.
   Slot slot_end() const;
 
-  // fn(slot, entry) for the entries in the `most` slots from `from` on, in the order of slots: of a table
-  // that was only added to, the order of listing. Gives where to go on. Entries that stay are seen once each,
-  // also when the table changes between two calls; `fn` may not change it.
+  // Calls fn(slot, entry) for the entries in at most `max_slots` slots from `from` on, in the order of slots:
+  // for a table from which nothing was erased, this is the order in which entries were added. Returns the
+  // slot to continue from. When the table changes between two calls, entries that stay are still visited
+  // exactly once. `fn` must not change the table.
   template <class Fn>
-  Slot for_each(Slot from, std::size_t most, Fn&& fn) const {
-    for (const Slot end = slot_end(); from < end && most > 0; ++from, --most) {
-      if (holds(from)) fn(from, at(from));
+  Slot for_each(Slot from, std::size_t max_slots, Fn&& fn) const {
+    for (const Slot end = slot_end(); from < end && max_slots > 0; ++from, --max_slots) {
+      if (in_use(from)) fn(from, at(from));
     }
     return from;
   }
 
-  // Empties the table, giving at most about `most` bytes (at least 64 KB) back to the system with each call:
-  // one hundred megabytes at once take longer than the loop may stand still. True: nothing is left, and the
-  // table is as new. Until then only this and the destructor may be called.
-  bool release_memory(std::size_t most);
+  // Empties the table and returns its memory to the system in steps, since freeing 100 MB at once would block
+  // the event loop for too long. Each call frees at most about `max_bytes`, and at least 64 KB. Returns true
+  // once nothing is left; the table is then like a new one. Until then, only this and the destructor may be
+  // called.
+  bool release_memory(std::size_t max_bytes);
 
-  // Empties a small one and keeps its memory; release for others.
+  // Empties a small table and keeps its memory. For large tables use release_memory.
   void clear();
 
  private:
-  struct Body;
+  struct Impl;
 
-  bool holds(Slot slot) const;
+  bool in_use(Slot slot) const;
 
-  std::unique_ptr<Body> body_;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace valedrum::catalog
--- a/catalog/entry.h
+++ b/catalog/entry.h
@@ -1,4 +1,4 @@
-// One endpoint of discovery's list, as the table and its reader speak of it.
+// Types for one endpoint of discovery's list, shared by the endpoint table and the list reader.
 #pragma once
 
 #include <array>
@@ -9,32 +9,37 @@
 
 namespace valedrum::catalog {
 
+// The network address of an endpoint.
 struct Address {
-  std::array<std::uint8_t, 16> bytes{};  // in the order of the network; of IPv4 the first four
+  std::array<std::uint8_t, 16> bytes{};  // network byte order; IPv4 uses the first four
   bool v6 = false;
   std::uint16_t port = 0;
-  std::uint32_t scope = 0;  // of a link-local IPv6 address
+  std::uint32_t scope = 0;  // scope id of a link-local IPv6 address
 
   friend bool operator==(const Address&, const Address&) = default;
 };
 
-// "address:port", by the rules of boost::asio::ip::make_address; none: it is no such text.
+// Parses "address:port", where the address is in a form that boost::asio::ip::make_address accepts. Returns
+// nullopt for any other text.
 std::optional<Address> parse_address(std::string_view text);
 
-enum class EndpointState : std::uint8_t { serving, draining, deleted };  // deleted: only among changes
+// What an endpoint is doing. `deleted` occurs only in lists of changes.
+enum class EndpointState : std::uint8_t { serving, draining, deleted };
 
-// The texts belong to whoever made the entry: one that a table gives is good until that table's next change.
+// One endpoint. The entry does not own its strings; those of an entry that a table returns are valid until
+// the next change of that table.
 struct Entry {
   std::string_view id, zone, kind;
   Address address;
-  std::uint64_t cell = 0;  // the destination; 0 for one that doesn't serve and names none
+  std::uint64_t cell = 0;  // the destination's id; 0 if not serving and listed without a cell
   double weight = 1;
-  std::int64_t started_ms = 0;  // Unix time of the endpoint's last start; 0: long ago
+  std::int64_t started_ms = 0;  // Unix time of the endpoint's last start; 0: unknown, treated as long ago
   EndpointState state = EndpointState::serving;
 
   friend bool operator==(const Entry&, const Entry&) = default;
 };
 
-constexpr std::size_t kMaxTextBytes = 1024;  // bytes of an id, a zone, a kind; longer ones are refused (ours)
+// Limit on the length of an id, a zone or a kind. Entries with longer ones are rejected.
+constexpr std::size_t kMaxTextBytes = 1024;
 
 }  // namespace valedrum::catalog
--- a/catalog/list_reader.cpp
+++ b/catalog/list_reader.cpp
@@ -19,29 +19,30 @@
   return std::nullopt;
 }
 
-// A number as json::value::to_number takes it: exactly, or not at all.
+// Converts a number that T represents exactly, as json::value::to_number does; returns nullopt for other
+// values.
 template <class T>
-std::optional<T> number(const json::value& value) {
+std::optional<T> to_number(const json::value& value) {
   error_code error;
   const T result = value.to_number<T>(error);
   return error ? std::nullopt : std::optional<T>(result);
 }
 
-// What a field of an entry has said last.
+// The last value of a field of an entry.
 struct Field {
-  std::string text;       // empty: no text
-  bool overlong = false;  // over kMaxTextBytes, of which only the beginning is kept
+  std::string text;       // empty if the value is not a string
+  bool overlong = false;  // longer than kMaxTextBytes; `text` has only its beginning
   bool present = false;
-  json::value other;  // a number; null: neither that nor a text
+  json::value other;  // a value other than a string; null for objects and arrays
 
-  void forget() {
+  void clear() {
     text.clear();
     overlong = present = false;
     other = nullptr;
   }
 };
 
-// The events of the parser, and what the list has said so far.
+// Handles the events of the JSON parser and keeps the state of the current list.
 class Handler {
  public:
   static constexpr std::size_t max_array_size = ListLimits::kMaxElements;
@@ -52,17 +53,17 @@
   EndpointTable table;
   std::int64_t version = 0;
   bool full = false;
-  std::string why;  // of a failure that is not the parser's
+  std::string failure;  // reason why the handler rejected the list; empty for errors of the JSON parser
 
-  void restart() {
-    version_ = full_ = servers_ = false;
+  void reset() {
+    has_version_ = has_full_ = has_servers_ = false;
     version = 0;
     full = false;
     depth_ = 0;
     in_servers_ = false;
     deleted_ = 0;
-    why.clear();
-    if (table.bytes() > kKept) {
+    failure.clear();
+    if (table.bytes() > kMaxReusedBytes) {
       table = EndpointTable();
     } else {
       table.clear();
@@ -82,7 +83,7 @@
 
   bool on_key_part(json::string_view s, std::size_t n, error_code&) {
     if (s.size() == n) key_.clear();
-    if (key_.size() <= kLongestKey) key_.append(s.substr(0, kLongestKey + 1));
+    if (key_.size() <= kMaxKeyBytes) key_.append(s.substr(0, kMaxKeyBytes + 1));
     return true;
   }
 
@@ -95,7 +96,7 @@
 
   bool on_string_part(json::string_view s, std::size_t n, error_code&) {
     if (!field()) return true;
-    if (s.size() == n) field()->forget();
+    if (s.size() == n) field()->clear();
     std::string& text = field()->text;
     text.append(s.substr(0, kMaxTextBytes - text.size()));
     field()->overlong = n > kMaxTextBytes;
@@ -112,19 +113,19 @@
   bool on_object_begin(error_code& ec) {
     if (depth_ > 0 && !on_value(nullptr, ec)) return false;
     if (++depth_ != kEntry || !in_servers_) return true;
-    for (Field& field : fields_) field.forget();
+    for (Field& field : fields_) field.clear();
     field_ = kFields;
     return true;
   }
 
   bool on_object_end(std::size_t, error_code& ec) {
     if (--depth_ == 0) return finish(ec);
-    return depth_ != kServers || !in_servers_ || stage(ec);
+    return depth_ != kServers || !in_servers_ || add_entry(ec);
   }
 
   bool on_array_begin(error_code& ec) {
-    if (depth_ == 0) return fail("not an object", ec);
-    if (depth_ == kTop && top_ == Top::servers) {
+    if (depth_ == 0) return fail("not a JSON object", ec);
+    if (depth_ == kTop && top_field_ == TopField::servers) {
       in_servers_ = true;
     } else if (!on_value(nullptr, ec)) {
       return false;
@@ -139,15 +140,12 @@
   }
 
  private:
-  enum class Top { version, full, servers, other };
+  enum class TopField { version, full, servers, other };
   enum FieldName { kId, kKind, kZone, kState, kAddr, kCell, kWeight, kStarted, kFields };
-  enum Depth : std::size_t {
-    kTop = 1,
-    kServers = 2,
-    kEntry = 3
-  };                                              // of what is inside the object, the array, an entry
-  static constexpr std::size_t kKept = 1 << 20;   // memory that is kept from one list to the next (ours)
-  static constexpr std::size_t kLongestKey = 10;  // started_ms
+  // Nesting depth inside the top-level object, the array `servers` and an entry.
+  enum Depth : std::size_t { kTop = 1, kServers = 2, kEntry = 3 };
+  static constexpr std::size_t kMaxReusedBytes = 1 << 20;  // a larger table is freed before the next list
+  static constexpr std::size_t kMaxKeyBytes = 10;          // of the longest known key, started_ms
 
   static FieldName field_of(std::string_view key) {
     constexpr std::array<std::string_view, kFields> kNames{"id",   "kind", "zone",   "state",
@@ -157,47 +155,50 @@
     return static_cast<FieldName>(at);
   }
 
+  // Returns the known field of an entry that is being read, or nullptr.
   Field* field() { return depth_ == kEntry && in_servers_ && field_ != kFields ? &fields_[field_] : nullptr; }
 
-  bool fail(std::string why_not, error_code& ec) {
-    why = std::move(why_not);
+  bool fail(std::string reason, error_code& ec) {
+    failure = std::move(reason);
     ec = json::make_error_code(json::error::syntax);
     return false;
   }
 
   bool on_top_key(error_code& ec) {
-    top_ = Top::other;
-    if (key_ == "version") return once(version_, Top::version, ec);
-    if (key_ == "full") return once(full_, Top::full, ec);
-    if (key_ == "servers") return once(servers_, Top::servers, ec);
+    top_field_ = TopField::other;
+    if (key_ == "version") return begin_top_field(has_version_, TopField::version, ec);
+    if (key_ == "full") return begin_top_field(has_full_, TopField::full, ec);
+    if (key_ == "servers") return begin_top_field(has_servers_, TopField::servers, ec);
     return true;
   }
 
-  bool once(bool& said, Top field, error_code& ec) {
-    top_ = field;
-    return !std::exchange(said, true) || fail(key_ + ": said twice", ec);
+  // Records that a field of the list occurs; fails the second time.
+  bool begin_top_field(bool& seen, TopField field, error_code& ec) {
+    top_field_ = field;
+    return !std::exchange(seen, true) || fail(key_ + ": duplicate field", ec);
   }
 
-  // Whatever is no text of a field: texts, objects and arrays come as null.
+  // Handles every value but a string in a known field of an entry. Other strings, objects and arrays are
+  // passed as null.
   bool on_value(json::value value, error_code& ec) {
-    if (depth_ == 0) return fail("not an object", ec);
-    if (Field* const said = field()) {
-      said->forget();
-      said->present = true;
-      said->other = std::move(value);
+    if (depth_ == 0) return fail("not a JSON object", ec);
+    if (Field* const current = field()) {
+      current->clear();
+      current->present = true;
+      current->other = std::move(value);
     }
     if (depth_ != kTop) return true;
-    if (top_ == Top::servers) return fail("servers: not a list", ec);
-    if (top_ == Top::full) full = value.is_bool() && value.as_bool();
-    if (top_ != Top::version) return true;
-    const auto said = number<std::int64_t>(value);
-    if (!said) return fail("version: not a whole number", ec);
-    version = *said;
+    if (top_field_ == TopField::servers) return fail("servers: not an array", ec);
+    if (top_field_ == TopField::full) full = value.is_bool() && value.as_bool();
+    if (top_field_ != TopField::version) return true;
+    const auto parsed = to_number<std::int64_t>(value);
+    if (!parsed) return fail("version: not a whole number", ec);
+    version = *parsed;
     return true;
   }
 
-  // The entry that has just ended, unless it is one to pass over.
-  bool stage(error_code& ec) {
+  // Adds the entry that has just ended to the table, unless it is unusable.
+  bool add_entry(error_code& ec) {
     Entry entry;
     entry.id = fields_[kId].text;
     entry.kind = fields_[kKind].text;
@@ -207,18 +208,18 @@
     if (fields_[kId].overlong || fields_[kKind].overlong || fields_[kZone].overlong) return true;
     entry.state = *state;
     if (fields_[kCell].present) {
-      const auto cell = number<std::uint64_t>(fields_[kCell].other);
+      const auto cell = to_number<std::uint64_t>(fields_[kCell].other);
       if (!cell) return true;
       entry.cell = *cell;
     } else if (entry.state == EndpointState::serving) {
       return true;
     }
     if (fields_[kWeight].present) {
-      const auto weight = number<double>(fields_[kWeight].other);
+      const auto weight = to_number<double>(fields_[kWeight].other);
       if (!weight) return true;
       entry.weight = *weight;
     }
-    entry.started_ms = number<std::int64_t>(fields_[kStarted].other).value_or(0);
+    entry.started_ms = to_number<std::int64_t>(fields_[kStarted].other).value_or(0);
     if (entry.state != EndpointState::deleted) {
       const auto address = parse_address(fields_[kAddr].text);
       if (!address || fields_[kAddr].overlong) return true;
@@ -230,91 +231,98 @@
       ++deleted_;
     }
     if (!table.put(entry)) return fail("too many pairs of zone and kind", ec);
-    return table.bytes() <= ListLimits::kMaxStagedBytes || fail("too much for the memory", ec);
+    return table.bytes() <= ListLimits::kMaxStagedBytes ||
+           fail("entries take more than " + std::to_string(ListLimits::kMaxStagedBytes >> 20) + " MB", ec);
   }
 
+  // Checks the list at its end. A full list may have had DELETED entries before its `full` field: they are
+  // removed.
   bool finish(error_code& ec) {
-    if (!servers_) return fail("servers: not a list", ec);
+    if (!has_servers_) return fail("servers: missing", ec);
     if (!full || deleted_ == 0) return true;
-    if (deleted_ > ListLimits::kMaxDeletedBeforeFull) return fail("a whole list of deleted endpoints", ec);
+    if (deleted_ > ListLimits::kMaxDeletedBeforeFull) {
+      return fail("full list with more than " + std::to_string(ListLimits::kMaxDeletedBeforeFull) +
+                      " DELETED entries",
+                  ec);
+    }
     for (Slot slot = 0; slot < table.slot_end(); ++slot) {
-      std::string gone;
+      std::string deleted_id;
       table.for_each(slot, 1, [&](Slot, const Entry& entry) {
-        if (entry.state == EndpointState::deleted) gone = entry.id;
+        if (entry.state == EndpointState::deleted) deleted_id = entry.id;
       });
-      if (!gone.empty()) table.erase(gone);
+      if (!deleted_id.empty()) table.erase(deleted_id);
     }
     return true;
   }
 
-  bool version_ = false, full_ = false, servers_ = false;  // have been said
+  bool has_version_ = false, has_full_ = false, has_servers_ = false;
   std::size_t depth_ = 0;
   bool in_servers_ = false;
-  Top top_ = Top::other;  // the field of the list being read
+  TopField top_field_ = TopField::other;  // field of the list being read
   std::string key_;
-  FieldName field_ = kFields;  // of the entry being read; kFields: an unknown one
+  FieldName field_ = kFields;  // field of the entry being read, or kFields for an unknown one
   std::array<Field, kFields> fields_;
-  std::size_t deleted_ = 0;  // staged so far, at most
+  std::size_t deleted_ = 0;  // upper bound on the DELETED entries in the table
 };
 
-json::parse_options options() {
-  json::parse_options chosen;
-  chosen.max_depth = ListLimits::kMaxDepth;
-  return chosen;
+json::parse_options parse_options() {
+  json::parse_options options;
+  options.max_depth = ListLimits::kMaxDepth;
+  return options;
 }
 
 }  // namespace
 
-struct ListReader::Body {
-  json::basic_parser<Handler> parser{options()};
+struct ListReader::Impl {
+  json::basic_parser<Handler> parser{parse_options()};
   Status status = Status::needs_more;
-  std::uint64_t taken = 0;
+  std::uint64_t bytes_consumed = 0;
   error_code error;
 
-  Handler& list() { return parser.handler(); }
+  Handler& handler() { return parser.handler(); }
 };
 
-ListReader::ListReader() : body_(std::make_unique<Body>()) {}
+ListReader::ListReader() : impl_(std::make_unique<Impl>()) {}
 ListReader::~ListReader() = default;
 ListReader::ListReader(ListReader&&) noexcept = default;
 ListReader& ListReader::operator=(ListReader&&) noexcept = default;
 
-ListReader::Status ListReader::feed(std::string_view& bytes, std::size_t most) {
-  Body& b = *body_;
-  const std::string_view piece = bytes.substr(0, most);
-  if (b.status != Status::needs_more || piece.empty()) return b.status;
-  const std::size_t taken = b.parser.write_some(true, piece.data(), piece.size(), b.error);
-  bytes.remove_prefix(taken);
-  b.taken += taken;
-  if (b.error) {
-    b.status = Status::invalid;
-  } else if (b.parser.done()) {
-    b.status = Status::complete;
+ListReader::Status ListReader::feed(std::string_view& bytes, std::size_t max_bytes) {
+  Impl& impl = *impl_;
+  const std::string_view input = bytes.substr(0, max_bytes);
+  if (impl.status != Status::needs_more || input.empty()) return impl.status;
+  const std::size_t consumed = impl.parser.write_some(true, input.data(), input.size(), impl.error);
+  bytes.remove_prefix(consumed);
+  impl.bytes_consumed += consumed;
+  if (impl.error) {
+    impl.status = Status::invalid;
+  } else if (impl.parser.done()) {
+    impl.status = Status::complete;
   }
-  return b.status;
+  return impl.status;
 }
 
-ListReader::Status ListReader::status() const { return body_->status; }
-std::uint64_t ListReader::bytes_consumed() const { return body_->taken; }
+ListReader::Status ListReader::status() const { return impl_->status; }
+std::uint64_t ListReader::bytes_consumed() const { return impl_->bytes_consumed; }
 
 std::string ListReader::error() const {
-  if (body_->status != Status::invalid) return {};
-  const std::string& why = body_->list().why;
-  return "list of endpoints, before byte " + std::to_string(body_->taken) + ": " +
-         (why.empty() ? body_->error.message() : why);
+  if (impl_->status != Status::invalid) return {};
+  const std::string& failure = impl_->handler().failure;
+  return "list of endpoints, before byte " + std::to_string(impl_->bytes_consumed) + ": " +
+         (failure.empty() ? impl_->error.message() : failure);
 }
 
-std::int64_t ListReader::version() const { return body_->list().version; }
-bool ListReader::full() const { return body_->list().full; }
-const EndpointTable& ListReader::entries() const { return body_->list().table; }
-EndpointTable ListReader::take_entries() { return std::exchange(body_->list().table, EndpointTable()); }
+std::int64_t ListReader::version() const { return impl_->handler().version; }
+bool ListReader::full() const { return impl_->handler().full; }
+const EndpointTable& ListReader::entries() const { return impl_->handler().table; }
+EndpointTable ListReader::take_entries() { return std::exchange(impl_->handler().table, EndpointTable()); }
 
 void ListReader::reset() {
-  body_->parser.reset();
-  body_->list().restart();
-  body_->status = Status::needs_more;
-  body_->taken = 0;
-  body_->error = {};
+  impl_->parser.reset();
+  impl_->handler().reset();
+  impl_->status = Status::needs_more;
+  impl_->bytes_consumed = 0;
+  impl_->error = {};
 }
 
 }  // namespace valedrum::catalog
--- a/catalog/memory_chunk.cpp
+++ b/catalog/memory_chunk.cpp
@@ -6,7 +6,7 @@
 
 namespace valedrum::catalog {
 
-void ChunkDeleter::operator()(std::byte* piece) const { ::munmap(piece, kChunkBytes); }
+void ChunkDeleter::operator()(std::byte* chunk) const { ::munmap(chunk, kChunkBytes); }
 
 MemoryChunk allocate_chunk() {
   void* const at = ::mmap(nullptr, kChunkBytes, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
--- a/catalog/string_pool.cpp
+++ b/catalog/string_pool.cpp
@@ -6,26 +6,26 @@
 namespace valedrum::catalog {
 
 StringPool::Offset StringPool::add(std::string_view text) {
-  const std::uint32_t length = stored(text.size());
-  if (open_ == kNoPart || parts_[open_].filled + length > kChunkBytes) {
-    MemoryChunk piece = allocate_chunk();
+  const std::uint32_t length = stored_bytes(text.size());
+  if (open_ == kNoChunk || chunks_[open_].filled + length > kChunkBytes) {
+    MemoryChunk memory = allocate_chunk();
     const std::uint32_t full = open_;
     if (free_.empty()) {
-      // A place has 32 bits: 65,536 pieces of 64 KB.
-      if (parts_.size() > ~Offset{0} / kChunkBytes) throw std::length_error("catalog: over 4 GB of ids");
-      open_ = static_cast<std::uint32_t>(parts_.size());
-      parts_.emplace_back();
+      // An offset has 32 bits, which address 65,536 chunks of 64 KB.
+      if (chunks_.size() > ~Offset{0} / kChunkBytes) throw std::length_error("catalog: over 4 GB of ids");
+      open_ = static_cast<std::uint32_t>(chunks_.size());
+      chunks_.emplace_back();
     } else {
       open_ = free_.back();
       free_.pop_back();
     }
-    parts_[open_] = {std::move(piece), 0, 0, false};
-    ++held_;
-    if (full != kNoPart) look(full);
+    chunks_[open_] = {std::move(memory), 0, 0, false};
+    ++mapped_;
+    if (full != kNoChunk) queue_if_sparse(full);
   }
-  Part& part = parts_[open_];
-  const Offset place = static_cast<Offset>(open_ * kChunkBytes + part.filled);
-  std::byte* to = part.piece.get() + part.filled;
+  Chunk& chunk = chunks_[open_];
+  const Offset offset = static_cast<Offset>(open_ * kChunkBytes + chunk.filled);
+  std::byte* to = chunk.memory.get() + chunk.filled;
   if (text.size() < 128) {
     *to++ = static_cast<std::byte>(text.size());
   } else {
@@ -33,41 +33,40 @@
     *to++ = static_cast<std::byte>(text.size() & 0xff);
   }
   std::memcpy(to, text.data(), text.size());
-  part.filled += length;
-  part.live += length;
-  return place;
+  chunk.filled += length;
+  chunk.live += length;
+  return offset;
 }
 
-std::string_view StringPool::at(Offset place) const {
-  const std::byte* from = parts_[place / kChunkBytes].piece.get() + place % kChunkBytes;
+std::string_view StringPool::at(Offset offset) const {
+  const std::byte* from = chunks_[offset / kChunkBytes].memory.get() + offset % kChunkBytes;
   std::size_t length = static_cast<std::size_t>(*from++);
   if (length >= 128) length = (length & 0x7f) << 8 | static_cast<std::size_t>(*from++);
   return {reinterpret_cast<const char*>(from), length};
 }
 
-void StringPool::drop(Offset place) {
-  const auto part = static_cast<std::uint32_t>(place / kChunkBytes);
-  parts_[part].live -= stored(at(place).size());
-  look(part);
+void StringPool::remove(Offset offset) {
+  const auto chunk = static_cast<std::uint32_t>(offset / kChunkBytes);
+  chunks_[chunk].live -= stored_bytes(at(offset).size());
+  queue_if_sparse(chunk);
 }
 
-void StringPool::look(std::uint32_t number) {
-  Part& part = parts_[number];
-  if (number == open_ || part.sparse || part.live >= part.filled / 3 * 2) return;
-  part.sparse = true;
+void StringPool::queue_if_sparse(std::uint32_t number) {
+  Chunk& chunk = chunks_[number];
+  if (number == open_ || chunk.sparse || chunk.live >= chunk.filled / 3 * 2) return;
+  chunk.sparse = true;
   sparse_.push_back(number);
 }
 
-// True: there is a text to look at, at next_ of the victim.
-bool StringPool::choose() {
+bool StringPool::select_victim() {
   for (;;) {
-    if (victim_ != kNoPart) {
-      Part& part = parts_[victim_];
-      if (part.live > 0 && next_ < part.filled) return true;
-      part = {};
-      --held_;
+    if (victim_ != kNoChunk) {
+      Chunk& chunk = chunks_[victim_];
+      if (chunk.live > 0 && next_ < chunk.filled) return true;
+      chunk = {};
+      --mapped_;
       free_.push_back(victim_);
-      victim_ = kNoPart;
+      victim_ = kNoChunk;
     }
     if (sparse_.empty()) return false;
     victim_ = sparse_.back();
@@ -77,32 +76,33 @@
 }
 
 std::size_t StringPool::bytes() const {
-  const std::size_t full = held_ > 0 ? (held_ - 1) * kChunkBytes + resident(parts_[open_].filled) : 0;
-  return full + parts_.capacity() * sizeof(Part) +
+  const std::size_t full =
+      mapped_ > 0 ? (mapped_ - 1) * kChunkBytes + resident_bytes(chunks_[open_].filled) : 0;
+  return full + chunks_.capacity() * sizeof(Chunk) +
          (free_.capacity() + sparse_.capacity()) * sizeof(std::uint32_t);
 }
 
 void StringPool::clear() {
-  while (parts_.size() > 1) parts_.pop_back();
+  while (chunks_.size() > 1) chunks_.pop_back();
   free_.clear();
   sparse_.clear();
-  victim_ = kNoPart;
-  held_ = 0;
-  open_ = kNoPart;
-  if (parts_.empty()) return;
-  if (!parts_[0].piece) parts_[0].piece = allocate_chunk();
-  parts_[0] = {std::move(parts_[0].piece), 0, 0, false};
+  victim_ = kNoChunk;
+  mapped_ = 0;
+  open_ = kNoChunk;
+  if (chunks_.empty()) return;
+  if (!chunks_[0].memory) chunks_[0].memory = allocate_chunk();
+  chunks_[0] = {std::move(chunks_[0].memory), 0, 0, false};
   open_ = 0;
-  held_ = 1;
+  mapped_ = 1;
 }
 
 bool StringPool::release_chunk() {
   free_.clear();
   sparse_.clear();
-  victim_ = open_ = kNoPart;
-  held_ = 0;
-  if (parts_.empty()) return false;
-  parts_.pop_back();
+  victim_ = open_ = kNoChunk;
+  mapped_ = 0;
+  if (chunks_.empty()) return false;
+  chunks_.pop_back();
   return true;
 }
 
--- a/catalog/zone_kind_pool.cpp
+++ b/catalog/zone_kind_pool.cpp
@@ -2,42 +2,43 @@
 
 namespace valedrum::catalog {
 
-std::size_t ZoneKindPool::weigh(const Label& label) {
-  constexpr std::size_t kNode = 80;  // of the map
-  return sizeof(Label) + kNode + label.zone.capacity() + label.kind.capacity();
+std::size_t ZoneKindPool::memory_of(const ZoneKind& pair) {
+  constexpr std::size_t kMapNodeBytes = 80;
+  return sizeof(ZoneKind) + kMapNodeBytes + pair.zone.capacity() + pair.kind.capacity();
 }
 
-std::optional<std::uint16_t> ZoneKindPool::take(std::string_view zone, std::string_view kind) {
-  if (last_ < all_.size() && all_[last_].uses > 0 && all_[last_].zone == zone && all_[last_].kind == kind) {
-    ++all_[last_].uses;
+std::optional<std::uint16_t> ZoneKindPool::acquire(std::string_view zone, std::string_view kind) {
+  if (last_ < pairs_.size() && pairs_[last_].references > 0 && pairs_[last_].zone == zone &&
+      pairs_[last_].kind == kind) {
+    ++pairs_[last_].references;
     return last_;
   }
-  if (const auto found = by_text_.find({zone, kind}); found != by_text_.end()) {
+  if (const auto found = by_name_.find({zone, kind}); found != by_name_.end()) {
     last_ = found->second;
   } else {
-    if (free_.empty()) {
-      if (all_.size() == kMost) return std::nullopt;
-      free_.push_back(static_cast<std::uint16_t>(all_.size()));
-      all_.emplace_back();
+    if (free_numbers_.empty()) {
+      if (pairs_.size() == kMaxPairs) return std::nullopt;
+      free_numbers_.push_back(static_cast<std::uint16_t>(pairs_.size()));
+      pairs_.emplace_back();
     }
-    last_ = free_.back();
-    free_.pop_back();
-    Label& label = all_[last_];
-    label = {std::string(zone), std::string(kind), 0};
-    by_text_.emplace(std::pair<std::string_view, std::string_view>(label.zone, label.kind), last_);
-    bytes_ += weigh(label);
+    last_ = free_numbers_.back();
+    free_numbers_.pop_back();
+    ZoneKind& pair = pairs_[last_];
+    pair = {std::string(zone), std::string(kind), 0};
+    by_name_.emplace(std::pair<std::string_view, std::string_view>(pair.zone, pair.kind), last_);
+    bytes_ += memory_of(pair);
   }
-  ++all_[last_].uses;
+  ++pairs_[last_].references;
   return last_;
 }
 
-void ZoneKindPool::give_back(std::uint16_t number) {
-  Label& label = all_[number];
-  if (--label.uses > 0) return;
-  bytes_ -= weigh(label);
-  by_text_.erase({label.zone, label.kind});
-  label = {};
-  free_.push_back(number);
+void ZoneKindPool::release(std::uint16_t number) {
+  ZoneKind& pair = pairs_[number];
+  if (--pair.references > 0) return;
+  bytes_ -= memory_of(pair);
+  by_name_.erase({pair.zone, pair.kind});
+  pair = {};
+  free_numbers_.push_back(number);
 }
 
 void ZoneKindPool::clear() { *this = {}; }
--- a/common/command_line.h
+++ b/common/command_line.h
@@ -1,4 +1,5 @@
-// What the command lines of all programs have in common: how they fail, and what is made from them.
+// Command-line handling shared by all programs: parsing, exit status, and the pages generated from the
+// options.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,18 +7,18 @@
 
 namespace valedrum {
 
-inline constexpr int kExitUsageError = 2;
+inline constexpr int kExitUsageError = 2;  // exit status
 
-// Parses, and runs the subcommand that was asked for. Returns the status to exit with: that of help and of
-// what the subcommand set in `status`, or kExitUsageError with one line on standard error, also for an
-// exception that a subcommand throws. `--markdown` and `--completion` print the program's page and its
-// completion for bash.
+// Parses the command line and runs the selected subcommand. Returns the exit status: `status`, which the
+// subcommand sets, or 0 for help, or kExitUsageError after one line on standard error if parsing fails or a
+// subcommand throws an exception. Adds the option `--completion`, which prints the program's bash completion,
+// and the hidden option `--markdown`, which prints its reference page.
 int run_command_line(CLI::App& app, int argc, const char* const* argv, const int& status);
 
-// The program's page: every command with its options, as `--help` has them.
+// Returns the program's reference page: all commands and their options, with the texts of `--help`.
 std::string markdown_reference(const CLI::App& app);
 
-// Completion of commands and options for bash.
+// Returns a bash script that completes commands and options.
 std::string bash_completion(const CLI::App& app);
 
 }  // namespace valedrum
--- a/common/file_io.h
+++ b/common/file_io.h
@@ -1,4 +1,4 @@
-// What all that is kept on disk is written with.
+// Helpers for writing files.
 #pragma once
 
 #include <unistd.h>
@@ -8,6 +8,7 @@
 
 namespace myrtlegrade {
 
+// Writes all bytes, continuing after partial writes and EINTR. Returns false on any other failure.
 inline bool write_all(int file, std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t written = ::write(file, bytes.data(), bytes.size());
--- a/common/json_library.cpp
+++ b/common/json_library.cpp
@@ -1,2 +1,2 @@
-// Boost.JSON, compiled once and linked in: no shared library is then needed where the relay runs.
+// Compiles Boost.JSON into the programs, so that the hosts of the relay need no shared library of it.
 #include <boost/json/src.hpp>
--- a/common/record_codec.h
+++ b/common/record_codec.h
@@ -1,5 +1,6 @@
-// The form of what goes to disk and from one process to the next: a kind, then numbers and texts; as a record
-// with its length and a checksum ahead.
+// The binary format of records on disk and of frames between processes. A payload is a kind, which is one
+// byte, followed by numbers (little-endian, eight bytes) and strings (a length, then the bytes). A record is
+// a payload with a header of its length and its CRC-32.
 #pragma once
 
 #include <array>
@@ -13,7 +14,7 @@
 
 namespace myrtlegrade {
 
-constexpr std::size_t kRecordHeaderBytes = 8;  // length and checksum, four bytes each
+constexpr std::size_t kRecordHeaderBytes = 8;  // length and checksum of the payload, four bytes each
 
 inline std::uint32_t checksum(std::string_view payload) {
   boost::crc_32_type crc;
@@ -21,6 +22,7 @@
   return crc.checksum();
 }
 
+// Builds a payload field by field.
 class RecordWriter {
  public:
   template <typename Kind>
@@ -48,6 +50,7 @@
     return number(static_cast<std::uint64_t>(value.count()));
   }
 
+  // Returns the payload as a record, with its header.
   std::string record() const {
     std::string result;
     for (const std::uint32_t value : {static_cast<std::uint32_t>(bytes_.size()), checksum(bytes_)}) {
@@ -60,7 +63,8 @@
   std::string bytes_;
 };
 
-// Reads what RecordWriter wrote; `good` turns false, for all that follows, where the bytes run out.
+// Reads records and payloads that RecordWriter built. `good` becomes false when the bytes run out, and stays
+// so; reads then return zero or empty values.
 class RecordReader {
  public:
   explicit RecordReader(std::string_view bytes) : rest_(bytes) {}
@@ -86,12 +90,14 @@
   std::chrono::microseconds duration() {
     return std::chrono::microseconds(static_cast<std::int64_t>(number()));
   }
-  // How many entries follow: never more than bytes that could hold them.
+  // Reads the number of entries that follow. A number greater than that of the bytes left is rejected, so
+  // that corrupt input cannot cause a large allocation.
   std::size_t count() {
     const std::uint64_t n = number();
     good = good && n <= rest_.size();
     return good ? n : 0;
   }
+  // Reads `count` bytes.
   std::string_view take(std::size_t count) {
     good = good && count <= rest_.size();
     if (!good) return {};
@@ -99,7 +105,7 @@
     rest_.remove_prefix(count);
     return part;
   }
-  // What a whole record holds; none where it is cut off or spoilt.
+  // Reads a record and returns its payload, or nullopt if the record is cut off or corrupt.
   std::optional<std::string_view> record() {
     const std::size_t length = number(4);
     const auto sum = static_cast<std::uint32_t>(number(4));
--- a/tests/catalog_reader_test.cpp
+++ b/tests/catalog_reader_test.cpp
@@ -1,4 +1,5 @@
-// The reader of discovery's list, against parse_list and cut or spoilt anywhere.
+// Tests of the incremental list reader: it must give the same result as parse_list wherever its input is cut,
+// and must reject lists that are corrupted at any byte.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 #include <vector>
 
 #include "catalog/list_reader.h"
-#include "landed_list.h"
+#include "reference_list_parser.h"
 
 namespace {
 
@@ -21,7 +22,7 @@
 
 using Random = std::mt19937_64;
 
-std::uint64_t below(Random& random, std::uint64_t bound) { return random() % bound; }
+std::uint64_t random_below(Random& random, std::uint64_t bound) { return random() % bound; }
 
 std::string text_of(const Address& address) {
   std::string text = std::to_string(address.port) + (address.v6 ? " v6" : "");
@@ -29,27 +30,27 @@
   return text.append(" ").append(std::to_string(address.scope));
 }
 
-// All but started_ms, which parse_list doesn't read.
-using Lines = std::map<std::string, std::string>;
+// Descriptions of entries by id, without started_ms, which parse_list does not read.
+using Descriptions = std::map<std::string, std::string>;
 
-std::string line_of(const Entry& entry) {
-  std::string line(entry.zone);
-  line.append("|").append(entry.kind).append("|").append(std::to_string(entry.cell)).append("|");
-  line.append(std::to_string(std::bit_cast<std::uint64_t>(entry.weight))).append("|");
-  line.append(std::to_string(static_cast<int>(entry.state))).append("|").append(text_of(entry.address));
-  return line;
+std::string describe(const Entry& entry) {
+  std::string text(entry.zone);
+  text.append("|").append(entry.kind).append("|").append(std::to_string(entry.cell)).append("|");
+  text.append(std::to_string(std::bit_cast<std::uint64_t>(entry.weight))).append("|");
+  text.append(std::to_string(static_cast<int>(entry.state))).append("|").append(text_of(entry.address));
+  return text;
 }
 
-Lines lines_of(const EndpointTable& table) {
-  Lines lines;
+Descriptions describe_all(const EndpointTable& table) {
+  Descriptions descriptions;
   table.for_each(0, table.slot_end(),
-                 [&](Slot, const Entry& entry) { lines[std::string(entry.id)] = line_of(entry); });
-  return lines;
+                 [&](Slot, const Entry& entry) { descriptions[std::string(entry.id)] = describe(entry); });
+  return descriptions;
 }
 
-// As parse_list has it; of one id named twice the last counts.
-Lines lines_of(const myrtlegrade::ListUpdate& update) {
-  Lines lines;
+// The result of parse_list. If an id is listed twice, the last entry counts.
+Descriptions describe_all(const myrtlegrade::ListUpdate& update) {
+  Descriptions descriptions;
   for (const myrtlegrade::ListedHost& listed : update.hosts) {
     Entry entry;
     entry.zone = listed.host.zone;
@@ -60,7 +61,7 @@
                   : listed.host.state == vetchhinge::HostState::draining ? EndpointState::draining
                                                                          : EndpointState::deleted;
     if (entry.state == EndpointState::deleted && update.full) {
-      lines.erase(listed.host.host);
+      descriptions.erase(listed.host.host);
       continue;
     }
     const auto address = listed.address.address();
@@ -73,18 +74,17 @@
       const auto bytes = address.to_v4().to_bytes();
       std::copy(bytes.begin(), bytes.end(), entry.address.bytes.begin());
     }
-    lines[listed.host.host] = line_of(entry);
+    descriptions[listed.host.host] = describe(entry);
   }
-  return lines;
+  return descriptions;
 }
 
 using Status = ListReader::Status;
 
-Status feed_all(ListReader& reader, std::string_view text, std::size_t most = 64 << 10) {
-  while (!text.empty() && reader.status() == Status::needs_more) reader.feed(text, most);
+Status feed_all(ListReader& reader, std::string_view text, std::size_t max_bytes = 64 << 10) {
+  while (!text.empty() && reader.status() == Status::needs_more) reader.feed(text, max_bytes);
   if (reader.status() != Status::complete) return reader.status();
-  return text.empty() ? Status::complete
-                      : Status::invalid;  // something after the list, where there is one a line
+  return text.empty() ? Status::complete : Status::invalid;  // input after a complete list is an error here
 }
 
 constexpr const char* kServers =
@@ -103,27 +103,27 @@
       kServers + "}";
   ListReader whole;
   ASSERT_EQ(feed_all(whole, text), Status::complete) << whole.error();
-  const Lines lines = lines_of(whole.entries());
-  EXPECT_EQ(lines, lines_of(myrtlegrade::parse_list(json::parse(text))));
-  EXPECT_EQ(lines.size(), 4u);
+  const Descriptions expected = describe_all(whole.entries());
+  EXPECT_EQ(expected, describe_all(myrtlegrade::parse_list(json::parse(text))));
+  EXPECT_EQ(expected.size(), 4u);
   EXPECT_EQ(whole.entries().at(*whole.entries().find("s-\u00e9\U0001F600\u00e9")).started_ms, 1764650000123);
   ListReader reader;
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
     std::string_view first = std::string_view(text).substr(0, cut), rest = std::string_view(text).substr(cut);
     ASSERT_EQ(feed_all(reader, first), Status::needs_more) << cut;
     ASSERT_EQ(feed_all(reader, rest), Status::complete) << cut << ": " << reader.error();
-    ASSERT_EQ(lines_of(reader.entries()), lines) << cut;
+    ASSERT_EQ(describe_all(reader.entries()), expected) << cut;
     ASSERT_EQ(reader.version(), 41);
     reader.reset();
-    // A byte that has no place anywhere in a list.
-    std::string spoilt = text;
-    spoilt[cut] = '\x01';
-    ASSERT_EQ(feed_all(reader, spoilt, 1 + cut % 13), Status::invalid) << cut;
+    // The byte 1 is invalid anywhere in JSON.
+    std::string corrupt = text;
+    corrupt[cut] = '\x01';
+    ASSERT_EQ(feed_all(reader, corrupt, 1 + cut % 13), Status::invalid) << cut;
     ASSERT_NE(reader.error(), "");
     reader.reset();
   }
   ASSERT_EQ(feed_all(reader, text, 1), Status::complete);
-  ASSERT_EQ(lines_of(reader.entries()), lines);
+  ASSERT_EQ(describe_all(reader.entries()), expected);
 }
 
 TEST(CatalogReader, KnowsAWholeListThatSaysSoOnlyAtItsEnd) {
@@ -134,7 +134,7 @@
     ASSERT_EQ(feed_all(reader, text), Status::complete) << reader.error();
     EXPECT_TRUE(reader.full());
     EXPECT_EQ(reader.version(), 7);
-    EXPECT_EQ(lines_of(reader.entries()), lines_of(myrtlegrade::parse_list(json::parse(text))));
+    EXPECT_EQ(describe_all(reader.entries()), describe_all(myrtlegrade::parse_list(json::parse(text))));
     EXPECT_FALSE(reader.entries().find("s-gone"));
     EndpointTable kept = reader.take_entries();
     reader.reset();
@@ -152,11 +152,11 @@
         .append(",\"servers\":[{\"id\":\"s-");
     text.append(std::to_string(n % 7)).append("\",\"state\":\"DELETED\"}]}\r\n");
   }
-  for (std::size_t most = 1; most < 200; most += 7) {
+  for (std::size_t max_bytes = 1; max_bytes < 200; max_bytes += 7) {
     ListReader reader;
     std::string_view rest = text;
     for (int n = 0; n < 50; ++n) {
-      while (reader.feed(rest, most) == Status::needs_more) ASSERT_FALSE(rest.empty());
+      while (reader.feed(rest, max_bytes) == Status::needs_more) ASSERT_FALSE(rest.empty());
       ASSERT_EQ(reader.status(), Status::complete) << reader.error();
       ASSERT_EQ(reader.version(), n);
       ASSERT_EQ(reader.entries().size(), 1u);
@@ -210,7 +210,7 @@
     feed_all(reader, many);
   }
   EXPECT_EQ(reader.status(), Status::invalid);
-  // What is longer than an id may be is passed over, as other entries that cannot be used.
+  // An entry with an id that is too long is skipped, like other unusable entries.
   reader.reset();
   std::string text =
       R"({"servers":[{"id":")" + std::string(kMaxTextBytes + 1, 'i') + R"(","state":"DELETED"},)";
@@ -219,40 +219,44 @@
   EXPECT_EQ(reader.entries().size(), 1u);
 }
 
-class AnyList {
+// Generates random lists, with valid and invalid values in any order, some of them corrupted.
+class RandomList {
  public:
-  explicit AnyList(std::uint64_t seed) : random_(seed) {}
+  explicit RandomList(std::uint64_t seed) : random_(seed) {}
 
   std::string operator()() {
     std::vector<std::string> fields;
-    maybe(fields, "version",
-          {"41", "41", "41", "41", "-3", "7.0", "7.5", "\"41\"", "null", "99999999999999999999"}, 8);
-    maybe(fields, "full", {"true", "true", "false", "false", "null", "1", "\"true\"", "[]"}, 8);
-    maybe(fields, "other", {"[1,{\"servers\":[]}]", "{}", "\"servers\"", "-0.5e3"}, 4);
-    if (below(random_, 40) > 0) {
+    maybe_add(fields, "version",
+              {"41", "41", "41", "41", "-3", "7.0", "7.5", "\"41\"", "null", "99999999999999999999"}, 8);
+    maybe_add(fields, "full", {"true", "true", "false", "false", "null", "1", "\"true\"", "[]"}, 8);
+    maybe_add(fields, "other", {"[1,{\"servers\":[]}]", "{}", "\"servers\"", "-0.5e3"}, 4);
+    if (random_below(random_, 40) > 0) {
       std::string servers = "[";
-      for (std::uint64_t n = below(random_, 9); n > 0; --n) servers.append(entry()).append(n > 1 ? "," : "");
-      fields.push_back("\"servers\":" + blank() + servers + "]");
+      for (std::uint64_t n = random_below(random_, 9); n > 0; --n)
+        servers.append(entry()).append(n > 1 ? "," : "");
+      fields.push_back("\"servers\":" + maybe_whitespace() + servers + "]");
     } else {
-      maybe(fields, "servers", {"{}", "null", "7"}, 5);
+      maybe_add(fields, "servers", {"{}", "null", "7"}, 5);
     }
-    return spoilt(object(fields));
+    return maybe_corrupted(object(fields));
   }
 
  private:
   using Values = std::vector<std::string>;
 
-  std::string blank() { return std::string(below(random_, 3) == 0 ? "\n  " : ""); }
+  std::string maybe_whitespace() { return std::string(random_below(random_, 3) == 0 ? "\n  " : ""); }
 
-  void maybe(Values& fields, const std::string& name, const Values& values, std::uint64_t often) {
-    // Once in a while twice: of an entry's fields the last counts. Those of the list must not be.
-    const bool twice = !values.empty() && name.size() <= 6 && name != "full" && below(random_, 25) == 0;
-    for (int n = below(random_, 10) < often ? (twice && name != "other" ? 2 : 1) : 0; n > 0; --n) {
-      // The first two are ones that can be used: most lists and entries are to be taken.
-      const std::size_t among =
-          below(random_, 4) > 0 ? std::min<std::size_t>(values.size(), 2) : values.size();
-      const std::string& value = values[below(random_, among)];
-      fields.push_back(std::string("\"").append(name).append("\"").append(blank()).append(":").append(value));
+  void maybe_add(Values& fields, const std::string& name, const Values& values, std::uint64_t tenths) {
+    // Some fields of entries occur twice, and the last one counts. Fields of the list must not occur twice.
+    const bool twice =
+        !values.empty() && name.size() <= 6 && name != "full" && random_below(random_, 25) == 0;
+    for (int n = random_below(random_, 10) < tenths ? (twice && name != "other" ? 2 : 1) : 0; n > 0; --n) {
+      // Mostly one of the first two values, which are valid, so that most lists and entries are accepted.
+      const std::size_t candidates =
+          random_below(random_, 4) > 0 ? std::min<std::size_t>(values.size(), 2) : values.size();
+      const std::string& value = values[random_below(random_, candidates)];
+      fields.push_back(
+          std::string("\"").append(name).append("\"").append(maybe_whitespace()).append(":").append(value));
     }
   }
 
@@ -260,50 +264,51 @@
     std::shuffle(fields.begin(), fields.end(), random_);
     std::string text = "{";
     for (const std::string& field : fields)
-      text.append(text.size() > 1 ? "," : "").append(blank()).append(field);
-    return text.append(blank()).append("}");
+      text.append(text.size() > 1 ? "," : "").append(maybe_whitespace()).append(field);
+    return text.append(maybe_whitespace()).append("}");
   }
 
   std::string entry() {
-    if (below(random_, 30) == 0)
-      return Values{"7", "null", "[]", "\"s-1\"", "[{\"id\":\"s-1\"}]"}[below(random_, 5)];
+    if (random_below(random_, 30) == 0)
+      return Values{"7", "null", "[]", "\"s-1\"", "[{\"id\":\"s-1\"}]"}[random_below(random_, 5)];
     Values fields;
-    maybe(fields, "id",
-          {"\"s-1\"", "\"s-2\"", "\"s-3\"", "\"\\u0073-4\"", "\"s-\\ud83d\\ude00\"", "\"s-5\"", "\"\"", "5"},
-          10);
-    maybe(fields, "addr",
-          {"\"10.1.0.18:7070\"", "\"10.1.0.19:7070\"", "\"::1:80\"", "\"fe80::2%3:9\"", "\"10.1.0:7\"",
-           "\"10.1.0.18\"", "\"1.2.3.4:99999\"", "\"1.2.3.4:080\"", "\"1.2.3.4\\u0000x:5\"", "\"1.2.3.4:+5\"",
-           "\":\"", "\"a:1\"", "{}"},
-          10);
-    maybe(fields, "zone", {"\"a\"", "\"b\"", "\"\"", "7", "null"}, 9);
-    maybe(fields, "kind", {"\"m2\"", "\"k\\n\"", "{\"kind\":\"m2\"}", "[\"m2\"]"}, 9);
-    maybe(fields, "state", {"\"SERVING\"", "\"SERVING\"", "\"DRAINING\"", "\"DELETED\"", "\"serving\"", "1"},
-          10);
-    maybe(fields, "cell",
-          {"3", "4", "5", "0", "3.0", "1e3", "3.5", "-1", "18446744073709551615", "1e30", "\"3\"", "null",
-           "[3]", "{\"cell\":3}"},
-          9);
-    maybe(fields, "weight",
-          {"1.0", "1", "0.25", "-2", "1e-3", "0.1", "18446744073709551615", "\"1\"", "null", "[]"}, 8);
-    maybe(fields, "started_ms", {"0", "1764650000123", "-5", "\"x\"", "1.5"}, 6);
-    maybe(fields, "x", {"{\"id\":\"s-9\",\"state\":[{}]}", "\"\\\\\"", "true"}, 2);
+    maybe_add(
+        fields, "id",
+        {"\"s-1\"", "\"s-2\"", "\"s-3\"", "\"\\u0073-4\"", "\"s-\\ud83d\\ude00\"", "\"s-5\"", "\"\"", "5"},
+        10);
+    maybe_add(fields, "addr",
+              {"\"10.1.0.18:7070\"", "\"10.1.0.19:7070\"", "\"::1:80\"", "\"fe80::2%3:9\"", "\"10.1.0:7\"",
+               "\"10.1.0.18\"", "\"1.2.3.4:99999\"", "\"1.2.3.4:080\"", "\"1.2.3.4\\u0000x:5\"",
+               "\"1.2.3.4:+5\"", "\":\"", "\"a:1\"", "{}"},
+              10);
+    maybe_add(fields, "zone", {"\"a\"", "\"b\"", "\"\"", "7", "null"}, 9);
+    maybe_add(fields, "kind", {"\"m2\"", "\"k\\n\"", "{\"kind\":\"m2\"}", "[\"m2\"]"}, 9);
+    maybe_add(fields, "state",
+              {"\"SERVING\"", "\"SERVING\"", "\"DRAINING\"", "\"DELETED\"", "\"serving\"", "1"}, 10);
+    maybe_add(fields, "cell",
+              {"3", "4", "5", "0", "3.0", "1e3", "3.5", "-1", "18446744073709551615", "1e30", "\"3\"", "null",
+               "[3]", "{\"cell\":3}"},
+              9);
+    maybe_add(fields, "weight",
+              {"1.0", "1", "0.25", "-2", "1e-3", "0.1", "18446744073709551615", "\"1\"", "null", "[]"}, 8);
+    maybe_add(fields, "started_ms", {"0", "1764650000123", "-5", "\"x\"", "1.5"}, 6);
+    maybe_add(fields, "x", {"{\"id\":\"s-9\",\"state\":[{}]}", "\"\\\\\"", "true"}, 2);
     return object(fields);
   }
 
-  std::string spoilt(std::string text) {
-    if (below(random_, 3) > 0) return text;
-    const std::size_t at = below(random_, text.size());
+  std::string maybe_corrupted(std::string text) {
+    if (random_below(random_, 3) > 0) return text;
+    const std::size_t at = random_below(random_, text.size());
     constexpr std::string_view kBytes = "{}[]\":,0 e\\u\xff\x01";
-    switch (below(random_, 4)) {
+    switch (random_below(random_, 4)) {
       case 0:
         return text.substr(0, at);
       case 1:
-        return text.erase(at, 1 + below(random_, 4));
+        return text.erase(at, 1 + random_below(random_, 4));
       case 2:
-        return text.insert(at, 1, kBytes[below(random_, kBytes.size())]);
+        return text.insert(at, 1, kBytes[random_below(random_, kBytes.size())]);
       default:
-        text[at] = kBytes[below(random_, kBytes.size())];
+        text[at] = kBytes[random_below(random_, kBytes.size())];
         return text;
     }
   }
@@ -312,41 +317,41 @@
 };
 
 TEST(CatalogReader, TakesAndRefusesWhatParseListDoes) {
-  AnyList any(34);
+  RandomList random_list(34);
   Random random(35);
-  int taken = 0, refused = 0, entries = 0, twice = 0;
+  int accepted = 0, rejected = 0, entries = 0, duplicate_fields = 0;
   ListReader reader;
   for (int n = 0; n < 20'000; ++n) {
-    const std::string text = any();
+    const std::string text = random_list();
     std::optional<myrtlegrade::ListUpdate> update;
     try {
       update = myrtlegrade::parse_list(json::parse(text));
     } catch (const std::exception&) {
     }
     reader.reset();
-    const bool whole = feed_all(reader, text, 1 + below(random, 80)) == Status::complete;
-    if (update && !whole && reader.error().find("said twice") != std::string::npos) {
-      ++twice;  // stricter there, as the header says
+    const bool whole = feed_all(reader, text, 1 + random_below(random, 80)) == Status::complete;
+    if (update && !whole && reader.error().find("duplicate field") != std::string::npos) {
+      ++duplicate_fields;  // the list reader is stricter here, see its header
       continue;
     }
     ASSERT_EQ(whole, update.has_value()) << text << "\n" << reader.error();
     if (!whole) {
-      ++refused;
+      ++rejected;
       continue;
     }
-    ++taken;
+    ++accepted;
     ASSERT_EQ(reader.version(), update->version) << text;
     ASSERT_EQ(reader.full(), update->full) << text;
-    const Lines lines = lines_of(*update);
-    ASSERT_EQ(lines_of(reader.entries()), lines) << text;
-    entries += static_cast<int>(lines.size());
+    const Descriptions expected = describe_all(*update);
+    ASSERT_EQ(describe_all(reader.entries()), expected) << text;
+    entries += static_cast<int>(expected.size());
   }
-  std::printf("%d taken with %d entries, %d refused, %d said a field twice\n", taken, entries, refused,
-              twice);
-  EXPECT_GT(taken, 5000);
-  EXPECT_GT(refused, 3000);
+  std::printf("%d accepted with %d entries, %d rejected, %d with a duplicate field\n", accepted, entries,
+              rejected, duplicate_fields);
+  EXPECT_GT(accepted, 5000);
+  EXPECT_GT(rejected, 3000);
   EXPECT_GT(entries, 10'000);
-  EXPECT_LT(twice, 100);
+  EXPECT_LT(duplicate_fields, 100);
 }
 
 }  // namespace
--- a/tests/catalog_test.cpp
+++ b/tests/catalog_test.cpp
@@ -1,4 +1,4 @@
-// The list of endpoints as a table.
+// Tests of the endpoint table, against a simple model of it, and measurements of its memory and time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,11 +17,11 @@
 
 using namespace valedrum::catalog;
 
-struct Owned {  // an entry that owns its texts
+struct OwnedEntry {  // an entry that owns its strings
   std::string id, zone, kind;
   Entry entry;
 
-  explicit Owned(const Entry& from) : id(from.id), zone(from.zone), kind(from.kind), entry(from) {}
+  explicit OwnedEntry(const Entry& from) : id(from.id), zone(from.zone), kind(from.kind), entry(from) {}
   Entry view() const {
     Entry all = entry;
     all.id = id;
@@ -33,26 +33,27 @@
 
 using Random = std::mt19937_64;
 
-std::uint64_t below(Random& random, std::uint64_t bound) { return random() % bound; }
+std::uint64_t random_below(Random& random, std::uint64_t bound) { return random() % bound; }
 
-// The ids of a range of `ids`, in a few cells each: most entries are ordinary, some have whatever can be odd.
-Owned any_entry(Random& random, std::uint64_t ids, std::uint64_t cells) {
-  Owned owned{Entry{}};
-  const std::uint64_t n = below(random, ids);
+// Returns a random entry with one of `ids` ids and one of `cells` cells. Most entries fit a record; some have
+// values that need an Extra.
+OwnedEntry random_entry(Random& random, std::uint64_t ids, std::uint64_t cells) {
+  OwnedEntry owned{Entry{}};
+  const std::uint64_t n = random_below(random, ids);
   owned.id = "s-";
   owned.id.append(std::to_string(n)).append(n % 50 == 0 ? 200 : n % 9, 'x');
-  owned.zone = std::string(1, static_cast<char>('a' + below(random, 4)));
-  owned.kind = std::to_string(below(random, 3));
+  owned.zone = std::string(1, static_cast<char>('a' + random_below(random, 4)));
+  owned.kind = std::to_string(random_below(random, 3));
   Entry& entry = owned.entry;
-  entry.cell = below(random, cells);
-  entry.state = below(random, 5) == 0 ? EndpointState::draining : EndpointState::serving;
+  entry.cell = random_below(random, cells);
+  entry.state = random_below(random, 5) == 0 ? EndpointState::draining : EndpointState::serving;
   entry.address.port = static_cast<std::uint16_t>(random());
   for (int i = 0; i < 4; ++i) entry.address.bytes[i] = static_cast<std::uint8_t>(random());
-  if (below(random, 3) == 0)
-    entry.started_ms = 1'760'000'000'000 + static_cast<std::int64_t>(below(random, 1 << 30));
-  switch (below(random, 12)) {
+  if (random_below(random, 3) == 0)
+    entry.started_ms = 1'760'000'000'000 + static_cast<std::int64_t>(random_below(random, 1 << 30));
+  switch (random_below(random, 12)) {
     case 0:
-      entry.weight = 0.1 * static_cast<double>(below(random, 40));
+      entry.weight = 0.1 * static_cast<double>(random_below(random, 40));
       break;
     case 1:
       entry.address.v6 = true;
@@ -73,7 +74,7 @@
   return id.insert(0, "s-").insert(2, length > id.size() ? length - id.size() : 0, '0');
 }
 
-bool put_plain(EndpointTable& table, std::uint64_t n, std::size_t length, std::uint64_t cell = 3) {
+bool put_ordinary(EndpointTable& table, std::uint64_t n, std::size_t length, std::uint64_t cell = 3) {
   const std::string id = id_of(n, length);
   Entry entry;
   entry.id = id;
@@ -83,30 +84,30 @@
   return table.put(entry).has_value();
 }
 
-std::uint64_t from_environment(const char* name, std::uint64_t otherwise) {
+std::uint64_t from_environment(const char* name, std::uint64_t default_value) {
   const char* const text = std::getenv(name);
-  return text ? std::strtoull(text, nullptr, 10) : otherwise;
+  return text ? std::strtoull(text, nullptr, 10) : default_value;
 }
 
-// What a EndpointTable has to be: entries by id, and the ids of each cell in the order in which they came
-// there.
+// The expected contents of an EndpointTable: entries by id, and the ids of each cell in the order in which
+// they were added to it.
 struct Model {
-  std::map<std::string, Owned> entries;
+  std::map<std::string, OwnedEntry> entries;
   std::map<std::uint64_t, std::vector<std::string>> cells;
 
-  void put(const Owned& owned) {
+  void put(const OwnedEntry& owned) {
     const auto found = entries.find(owned.id);
     if (found == entries.end() || found->second.entry.cell != owned.entry.cell) {
-      leave(owned.id);
+      remove_from_cell(owned.id);
       cells[owned.entry.cell].push_back(owned.id);
     }
     entries.insert_or_assign(owned.id, owned);
   }
   bool erase(const std::string& id) {
-    leave(id);
+    remove_from_cell(id);
     return entries.erase(id) > 0;
   }
-  void leave(const std::string& id) {
+  void remove_from_cell(const std::string& id) {
     const auto found = entries.find(id);
     if (found == entries.end()) return;
     std::vector<std::string>& cell = cells[found->second.entry.cell];
@@ -115,7 +116,7 @@
   }
 };
 
-void expect_same(const EndpointTable& table, const Model& model) {
+void expect_equal(const EndpointTable& table, const Model& model) {
   ASSERT_EQ(table.size(), model.entries.size());
   ASSERT_EQ(table.cell_count(), model.cells.size());
   for (const auto& [id, owned] : model.entries) {
@@ -145,78 +146,79 @@
       EndpointTable table;
       Model model;
       for (int step = 0; step < 20'000; ++step) {
-        // Long times of growing and of shrinking, so that the indices do both.
+        // Long phases of growth and of shrinking, so that the indices split and merge buckets.
         const bool growing = step / 5000 % 2 == 0;
-        const Owned owned = any_entry(random, ids, cells);
-        if (below(random, 4) < (growing ? 3u : 1u)) {
+        const OwnedEntry owned = random_entry(random, ids, cells);
+        if (random_below(random, 4) < (growing ? 3u : 1u)) {
           ASSERT_TRUE(table.put(owned.view()));
           model.put(owned);
         } else {
           ASSERT_EQ(table.erase(owned.id), model.erase(owned.id));
         }
-        if (step % 2500 == 0) expect_same(table, model);
+        if (step % 2500 == 0) expect_equal(table, model);
       }
-      expect_same(table, model);
+      expect_equal(table, model);
     }
   }
 }
 
-// Ids are replaced by new ones for as long as the process lives: places, records and labels must be used
-// again.
+// Ids are replaced by new ones for as long as the process runs. Offsets, records and pairs of zone and kind
+// must be reused, or memory grows without bound.
 TEST(CatalogTable, StaysFlatUnderEndlessChange) {
   const std::uint64_t changes = from_environment("CATALOG_CHANGES", 1'000'000);
   constexpr std::uint64_t kLive = 20'000;
   EndpointTable table;
   Random random(1);
-  std::size_t settled = 0, most = 0;
+  std::size_t early_max = 0, late_max = 0;
   for (std::uint64_t n = 0; n < changes; ++n) {
-    Owned owned = any_entry(random, 1, 1);
+    OwnedEntry owned = random_entry(random, 1, 1);
     owned.id = id_of(n, n / kLive % 2 == 0 ? 10 : 40);  // lengths change in waves
     owned.zone = std::to_string(n / 1000);
     owned.entry.cell = n * 7;
     ASSERT_TRUE(table.put(owned.view()));
-    // One that is anywhere among the oldest half goes, and now and then half of all at once.
+    // Erases a random entry, and now and then half of all entries at once.
     while (table.size() > (n % 500'000 == 499'999 ? kLive / 2 : kLive)) {
-      std::string gone;
-      const auto from = static_cast<Slot>(below(random, table.slot_end()));
-      table.for_each(from, 1, [&](Slot, const Entry& entry) { gone = entry.id; });
-      if (!gone.empty()) {
-        ASSERT_TRUE(table.erase(gone));
+      std::string erased_id;
+      const auto from = static_cast<Slot>(random_below(random, table.slot_end()));
+      table.for_each(from, 1, [&](Slot, const Entry& entry) { erased_id = entry.id; });
+      if (!erased_id.empty()) {
+        ASSERT_TRUE(table.erase(erased_id));
       }
     }
-    (n < changes / 5 ? settled : most) = std::max(n < changes / 5 ? settled : most, table.bytes());
+    (n < changes / 5 ? early_max : late_max) =
+        std::max(n < changes / 5 ? early_max : late_max, table.bytes());
   }
   std::printf("%lu changes, %zu entries: at most %zu bytes in the first fifth, %zu afterwards\n", changes,
-              table.size(), settled, most);
-  EXPECT_LT(most, settled + settled / 20);
+              table.size(), early_max, late_max);
+  EXPECT_LT(late_max, early_max + early_max / 20);
 }
 
 TEST(CatalogTable, GivesBackInSlicesAndIsThenAsNew) {
   EndpointTable table;
-  for (std::uint64_t n = 0; n < 50'000; ++n) ASSERT_TRUE(put_plain(table, n, 10));
+  for (std::uint64_t n = 0; n < 50'000; ++n) ASSERT_TRUE(put_ordinary(table, n, 10));
   const std::size_t full = table.bytes();
-  int slices = 0;
+  int steps = 0;
   while (!table.release_memory(256 << 10)) {
-    ++slices;
+    ++steps;
     EXPECT_FALSE(table.find(id_of(3, 10)));
     EXPECT_EQ(table.size(), 0u);
   }
-  EXPECT_GE(slices, static_cast<int>(full / (256 << 10)) - 1);
+  EXPECT_GE(steps, static_cast<int>(full / (256 << 10)) - 1);
   EXPECT_LT(table.bytes(), 16u << 10);
-  ASSERT_TRUE(put_plain(table, 3, 10));
+  ASSERT_TRUE(put_ordinary(table, 3, 10));
   EXPECT_TRUE(table.find(id_of(3, 10)));
 }
 
 TEST(CatalogTable, GoesOnWhereForEachStoppedAlsoWhenItChanges) {
   EndpointTable table;
-  for (std::uint64_t n = 0; n < 1000; ++n) ASSERT_TRUE(put_plain(table, n, 10));
+  for (std::uint64_t n = 0; n < 1000; ++n) ASSERT_TRUE(put_ordinary(table, n, 10));
   std::map<std::string, int> seen;
   Slot from = 0;
   for (std::uint64_t step = 0; from < table.slot_end(); ++step) {
     from = table.for_each(from, 7, [&](Slot, const Entry& entry) { ++seen[std::string(entry.id)]; });
-    table.erase(id_of(step * 3, 10));                // those of a multiple of 3 below 429 go
-    ASSERT_TRUE(put_plain(table, 5000 + step, 10));  // new ones may be seen, or not
-    ASSERT_TRUE(put_plain(table, 1 + step * 3, 10, 77));
+    table.erase(id_of(step * 3, 10));                   // erases the multiples of 3 below 429
+    ASSERT_TRUE(put_ordinary(table, 5000 + step, 10));  // new entries may or may not be visited
+    ASSERT_TRUE(put_ordinary(table, 1 + step * 3, 10, 77));
   }
   for (std::uint64_t n = 0; n < 1000; ++n) {
     if (n % 3 != 0 || n >= 429) {
@@ -228,14 +230,14 @@
 
 TEST(CatalogTable, MayBePutWithItsOwnTexts) {
   EndpointTable table;
-  for (std::uint64_t n = 0; n < 100; ++n) ASSERT_TRUE(put_plain(table, n, 30 + n));
+  for (std::uint64_t n = 0; n < 100; ++n) ASSERT_TRUE(put_ordinary(table, n, 30 + n));
   const std::string zone(40, 'z');
   for (std::uint64_t n = 0; n < 100; ++n) {
     Entry entry = table.at(*table.find(id_of(n, 30 + n)));
     entry.zone = zone;
     ASSERT_TRUE(table.put(entry));
     entry = table.at(*table.find(id_of(n, 30 + n)));
-    entry.kind = entry.zone;  // whose only use goes with this
+    entry.kind = entry.zone;  // belongs to the table; this put removes its only reference
     entry.zone = {};
     ASSERT_TRUE(table.put(entry));
     EXPECT_EQ(table.at(*table.find(id_of(n, 30 + n))).kind, zone);
@@ -258,17 +260,17 @@
     ASSERT_TRUE(table.put(entry));
     EXPECT_EQ(table.at(*table.find(entry.id)), entry);
   }
-  // More pairs of zone and kind than are kept: what is there stays as it is.
+  // Beyond the limit on pairs of zone and kind, new pairs are rejected and the table stays as it is.
   EndpointTable zones;
-  std::size_t taken = 0;
+  std::size_t accepted = 0;
   for (int n = 0; n < 20'000; ++n) {
     const std::string zone = std::to_string(n);
     entry = {};
     entry.id = entry.zone = zone;
-    taken += zones.put(entry).has_value();
+    accepted += zones.put(entry).has_value();
   }
-  EXPECT_EQ(taken, zones.size());
-  EXPECT_EQ(taken, 16384u);
+  EXPECT_EQ(accepted, zones.size());
+  EXPECT_EQ(accepted, 16384u);
   entry = {};
   entry.id = "5";
   entry.zone = "one more";
@@ -278,7 +280,7 @@
   EXPECT_TRUE(zones.put(entry));
 }
 
-// ------------------------------------------------------------------------------------------ figures
+// ------------------------------------------------------------------------------------- measurements
 
 using Clock = std::chrono::steady_clock;
 
@@ -294,7 +296,8 @@
   return resident * 4096;
 }
 
-std::string listed(std::uint64_t n, std::size_t length, std::uint64_t cell, const char* state) {
+// Returns an entry as discovery lists it.
+std::string entry_json(std::uint64_t n, std::size_t length, std::uint64_t cell, const char* state) {
   std::string text = "{\"id\":\"" + id_of(n, length) + "\",\"addr\":\"10.";
   text.append(std::to_string(n >> 16 & 255)).append(".").append(std::to_string(n >> 8 & 255)).append(".");
   text.append(std::to_string(n & 255))
@@ -307,67 +310,70 @@
   return text.append(",\"state\":\"").append(state).append("\",\"weight\":1.0,\"started_ms\":1764650000123}");
 }
 
-// `CATALOG_ENTRIES=1900000 valedrum_catalog_tests --gtest_filter=CatalogFigures.*` for other sizes. The
-// figures of time are printed only: the machine may be busy.
+// Measures memory and time of reading a whole list and of single changes. For other sizes, run
+// `CATALOG_ENTRIES=1900000 valedrum_catalog_tests --gtest_filter=CatalogFigures.*`. Times are printed but not
+// checked, since the machine may be busy.
 TEST(CatalogFigures, ForAWholeListAndOneChange) {
   const std::uint64_t entries = from_environment("CATALOG_ENTRIES", 200'000);
   for (const std::size_t length : {10u, 20u}) {
     const std::size_t before = resident_bytes();
     ListReader reader;
-    double read = 0, longest = 0;
-    std::uint64_t taken = 0;
-    std::string piece = "{\"version\":1,\"full\":true,\"servers\":[";
+    double read_ms = 0, longest_ms = 0;
+    std::uint64_t bytes_read = 0;
+    std::string input = "{\"version\":1,\"full\":true,\"servers\":[";
     for (std::uint64_t n = 0; n < entries;) {
-      while (piece.size() < 64 << 10 && n < entries) {
-        piece.append(n > 0 ? "," : "").append(listed(n, length, n, "SERVING"));
+      while (input.size() < 64 << 10 && n < entries) {
+        input.append(n > 0 ? "," : "").append(entry_json(n, length, n, "SERVING"));
         ++n;
       }
-      if (n == entries) piece += "]}";
-      std::string_view rest = piece;
+      if (n == entries) input += "]}";
+      std::string_view rest = input;
       const auto start = Clock::now();
       reader.feed(rest, 128 << 10);
-      const double took = ms_since(start);
-      read += took;
-      longest = std::max(longest, took);
-      taken += piece.size();
-      piece.clear();
+      const double elapsed_ms = ms_since(start);
+      read_ms += elapsed_ms;
+      longest_ms = std::max(longest_ms, elapsed_ms);
+      bytes_read += input.size();
+      input.clear();
     }
     ASSERT_EQ(reader.status(), ListReader::Status::complete) << reader.error();
     EndpointTable table = reader.take_entries();
     ASSERT_EQ(table.size(), entries);
-    const double each = static_cast<double>(table.bytes()) / static_cast<double>(entries);
-    const double in_memory = static_cast<double>(resident_bytes() - before) / static_cast<double>(entries);
+    const double bytes_per_entry = static_cast<double>(table.bytes()) / static_cast<double>(entries);
+    const double resident_per_entry =
+        static_cast<double>(resident_bytes() - before) / static_cast<double>(entries);
     std::printf(
         "%lu entries, ids of %zu: %.1f bytes an entry (%.1f by the system), %.1f MB read in %.0f ms, longest "
         "64 KB %.2f ms\n",
-        entries, length, each, in_memory, static_cast<double>(taken) / 1e6, read, longest);
+        entries, length, bytes_per_entry, resident_per_entry, static_cast<double>(bytes_read) / 1e6, read_ms,
+        longest_ms);
     if (entries >= 2000) {
-      EXPECT_LE(each, 100);
+      EXPECT_LE(bytes_per_entry, 100);
     }
     if (entries >= 100'000) {
-      EXPECT_LE(each, 44.0 + 1.05 * static_cast<double>(length));
+      EXPECT_LE(bytes_per_entry, 44.0 + 1.05 * static_cast<double>(length));
     }
-#ifndef __SANITIZE_ADDRESS__  // which holds memory of its own
+#ifndef __SANITIZE_ADDRESS__  // AddressSanitizer uses memory of its own
     if (entries >= 100'000) {
-      EXPECT_LE(in_memory, each * 1.1);
+      EXPECT_LE(resident_per_entry, bytes_per_entry * 1.1);
     }
 #endif
 
     Random random(2);
     std::vector<double> changes, puts;
-    for (int n = 0; n < 20'000; ++n) {  // one that moves, one that goes, a new one
-      const std::uint64_t known = below(random, entries);
+    for (int n = 0; n < 20'000; ++n) {  // in turn: an entry that moves, a deleted one, a new one
+      const std::uint64_t known = random_below(random, entries);
       const std::string text =
           "{\"version\":2,\"full\":false,\"servers\":[" +
-          (n % 3 == 0   ? listed(known, length, below(random, entries), "DRAINING")
+          (n % 3 == 0   ? entry_json(known, length, random_below(random, entries), "DRAINING")
            : n % 3 == 1 ? "{\"id\":\"" + id_of(known, length) + "\",\"state\":\"DELETED\"}"
-                        : listed(entries + static_cast<std::uint64_t>(n), length, entries, "SERVING")) +
+                        : entry_json(entries + static_cast<std::uint64_t>(n), length, entries, "SERVING")) +
           "]}\n";
       std::string_view rest = text;
       const auto start = Clock::now();
       reader.reset();
       ASSERT_EQ(reader.feed(rest, 64 << 10), ListReader::Status::complete);
-      const auto applied = Clock::now();
+      const auto parsed = Clock::now();
       reader.entries().for_each(0, 10, [&](Slot, const Entry& entry) {
         if (entry.state == EndpointState::deleted) {
           table.erase(entry.id);
@@ -377,7 +383,7 @@
       });
       const auto ended = Clock::now();
       changes.push_back(std::chrono::duration<double, std::milli>(ended - start).count());
-      puts.push_back(std::chrono::duration<double, std::milli>(ended - applied).count());
+      puts.push_back(std::chrono::duration<double, std::milli>(ended - parsed).count());
     }
     std::sort(changes.begin(), changes.end());
     std::sort(puts.begin(), puts.end());
@@ -385,14 +391,14 @@
         "  one change: median %.4f ms, 99%% %.4f, longest %.4f; of it in the table %.4f, %.4f, %.4f\n",
         changes[changes.size() / 2], changes[changes.size() * 99 / 100], changes.back(),
         puts[puts.size() / 2], puts[puts.size() * 99 / 100], puts.back());
-    double slice = 0;
-    int slices = 0;
-    for (bool done = false; !done; ++slices) {
+    double longest_step_ms = 0;
+    int steps = 0;
+    for (bool done = false; !done; ++steps) {
       const auto start = Clock::now();
       done = table.release_memory(1 << 20);
-      slice = std::max(slice, ms_since(start));
+      longest_step_ms = std::max(longest_step_ms, ms_since(start));
     }
-    std::printf("  given back in %d slices of 1 MB, longest %.2f ms\n", slices, slice);
+    std::printf("  released in %d steps of 1 MB, longest %.2f ms\n", steps, longest_step_ms);
   }
 }
 
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -1,4 +1,6 @@
-// The list of endpoints and the destinations that are awake, beneath a relay and in one.
+// Tests of the list of endpoints and of which destinations the decision module knows, with the Endpoints
+// class alone and in a relay. Up to a limit, all destinations of the list are active in the module; beyond
+// it, a destination is inactive until a message for it arrives.
 #include <boost/asio/io_context.hpp>
 
 #include "catalog/list_reader.h"
@@ -15,17 +17,17 @@
 using vetchhinge::HostList;
 using vetchhinge::HostState;
 
-// A list as discovery says it: entries of "id cell", with a state, a port and a kind where they differ.
-struct Said {
+// An entry of a list from discovery, with defaults for what most tests do not vary.
+struct ListedEntry {
   std::string id;
   std::uint64_t cell = 0;
   std::string state = "SERVING";
   int port = 7070;
   std::string kind = "plain";
 };
-std::string text_of(const std::vector<Said>& entries, bool full, std::int64_t version = 1) {
+std::string list_json(const std::vector<ListedEntry>& entries, bool full, std::int64_t version = 1) {
   json::array servers;
-  for (const Said& e : entries) {
+  for (const ListedEntry& e : entries) {
     servers.push_back(json::object{{"id", e.id},
                                    {"addr", "10.0.0.1:" + std::to_string(e.port)},
                                    {"zone", "z-" + e.id},
@@ -37,10 +39,10 @@
   }
   return json::serialize(json::object{{"version", version}, {"full", full}, {"servers", servers}});
 }
-std::string nth(std::uint64_t i) { return std::string("e").append(std::to_string(i)); }
-std::vector<Said> many(std::uint64_t count) {
-  std::vector<Said> all;
-  for (std::uint64_t i = 0; i < count; ++i) all.push_back({nth(i), i});
+std::string id_of(std::uint64_t i) { return std::string("e").append(std::to_string(i)); }
+std::vector<ListedEntry> make_entries(std::uint64_t count) {
+  std::vector<ListedEntry> all;
+  for (std::uint64_t i = 0; i < count; ++i) all.push_back({id_of(i), i});
   return all;
 }
 
@@ -54,9 +56,9 @@
   }
   ~EndpointsTest() override { fs::remove_all(folder_); }
 
-  // What the module is told of a list.
-  HostList take(const std::vector<Said>& entries, bool full, std::int64_t version = 1) {
-    const std::string text = text_of(entries, full, version);
+  // Passes a list to the endpoints and returns the event for the decision module.
+  HostList take(const std::vector<ListedEntry>& entries, bool full, std::int64_t version = 1) {
+    const std::string text = list_json(entries, full, version);
     std::string_view rest = text;
     EXPECT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete) << reader_.error();
     events_.clear();
@@ -108,7 +110,7 @@
 }
 
 TEST_F(EndpointsTest, BeyondItOnlyWhatAMessageComesForIsAwake) {
-  EXPECT_TRUE(take(many(100), true).entries.empty());
+  EXPECT_TRUE(take(make_entries(100), true).entries.empty());
   EXPECT_TRUE(endpoints_.known());
   EXPECT_TRUE(endpoints_.is_destination(50));
   EXPECT_FALSE(endpoints_.is_destination(100));
@@ -118,25 +120,25 @@
   EXPECT_EQ(endpoints_.at(woken.entries[0].host).zone, "z-e50");
   EXPECT_TRUE(wake(50).entries.empty());
   EXPECT_EQ(names(take({{"e50", 50, "DRAINING"}, {"e51", 51, "DRAINING"}}, false)), Names{"e50"});
-  // Kept of those that sleep too.
-  const catalog::Entry rests = endpoints_.list().at(endpoints_.list().find("e51").value());
-  EXPECT_EQ(rests.state, catalog::EndpointState::draining);
-  EXPECT_EQ(rests.zone, "z-e51");
-  EXPECT_EQ(rests.weight, 2.5);
-  EXPECT_EQ(rests.started_ms, 1'700'000'000'000);
+  // Inactive entries are kept complete too.
+  const catalog::Entry inactive = endpoints_.list().at(endpoints_.list().find("e51").value());
+  EXPECT_EQ(inactive.state, catalog::EndpointState::draining);
+  EXPECT_EQ(inactive.zone, "z-e51");
+  EXPECT_EQ(inactive.weight, 2.5);
+  EXPECT_EQ(inactive.started_ms, 1'700'000'000'000);
   EXPECT_EQ(wake(51).entries.at(0).state, HostState::draining);
-  EXPECT_EQ(names(take(many(100), true)), (Names{"e50", "e51"}));
+  EXPECT_EQ(names(take(make_entries(100), true)), (Names{"e50", "e51"}));
 }
 
 TEST_F(EndpointsTest, PutAwayAndNeededAgainItIsToldAnew) {
-  take(many(100), true);
+  take(make_entries(100), true);
   const HostId first = wake(7).entries.at(0).host;
   endpoints_.put_away(7);
   EXPECT_FALSE(dialect_.hosts.find("e7"));
   const HostList again = wake(7);
   EXPECT_EQ(names(again), Names{"e7"});
   EXPECT_NE(again.entries[0].host, first);
-  // With a call out it keeps its record, and its number.
+  // While a call is in flight, the endpoint keeps its record and its host number.
   endpoints_.call_begins(again.entries[0].host);
   endpoints_.put_away(7);
   EXPECT_EQ(endpoints_.at(again.entries[0].host).out, 1U);
@@ -146,15 +148,15 @@
 }
 
 TEST_F(EndpointsTest, OneThatRestsIsBannedByNameAndStaysOutWhenWoken) {
-  take(many(100), true);
+  take(make_entries(100), true);
   EXPECT_TRUE(endpoints_.is_known("e8"));
   EXPECT_FALSE(endpoints_.is_known("e100"));
   journal_.disable_host("e8");
-  const HostId out = endpoints_.number("e8");
-  endpoints_.withhold(out);
-  EXPECT_EQ(wake(8).entries.at(0).host, out);
+  const HostId banned = endpoints_.number("e8");
+  endpoints_.withhold(banned);
+  EXPECT_EQ(wake(8).entries.at(0).host, banned);
   endpoints_.put_away(8);
-  EXPECT_EQ(wake(8).entries.at(0).host, out);
+  EXPECT_EQ(wake(8).entries.at(0).host, banned);
   endpoints_.put_away(8);
   journal_.enable_host("e8");
   endpoints_.forget_name("e8");
@@ -174,10 +176,10 @@
   EXPECT_EQ(endpoints_.at(first).withheld, 1U);
   ASSERT_EQ(events_.size(), 2U);
   EXPECT_EQ(std::get<vetchhinge::OperatorHostOverride>(events_[1]).host, moved.entries[1].host);
-  EXPECT_EQ(endpoints_.name(first), "a");  // as long as its call is out
+  EXPECT_EQ(endpoints_.name(first), "a");  // as long as its call is in flight
   endpoints_.call_over(first);
   EXPECT_EQ(dialect_.hosts.find("a"), static_cast<std::uint32_t>(moved.entries[1].host));
-  // By a whole list too.
+  // The same with a full list.
   const HostList whole = take({{"a", 3}, {"b", 2}}, true);
   EXPECT_EQ(names(whole), (Names{"a", "b"}));
   EXPECT_NE(whole.entries[0].host, moved.entries[1].host);
@@ -196,10 +198,10 @@
 }
 
 TEST_F(EndpointsTest, AListWithoutHalfOfWhatWasThere) {
-  take(many(100), true);
+  take(make_entries(100), true);
   wake(10);
   wake(60);
-  const HostList half = take(many(50), true);
+  const HostList half = take(make_entries(50), true);
   EXPECT_EQ(names(half), Names{"e10"});
   EXPECT_FALSE(dialect_.hosts.find("e60"));
   EXPECT_TRUE(endpoints_.is_destination(75));
@@ -221,8 +223,8 @@
 }
 
 TEST_F(EndpointsTest, ManyChangesAreTakenInPartsAndCountOnceAllAreIn) {
-  take(many(10), true, 4);
-  const std::string text = text_of(many(3'000), false, 9);
+  take(make_entries(10), true, 4);
+  const std::string text = list_json(make_entries(3'000), false, 9);
   std::string_view rest = text;
   ASSERT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete);
   int parts = 1;
@@ -236,17 +238,17 @@
 }
 
 TEST_F(EndpointsTest, EndlessNewIdsAndDestinationsKeepMemoryFlat) {
-  take(many(100), true);
+  take(make_entries(100), true);
   std::size_t before = 0;
   for (std::uint64_t i = 100; i < 100'000; ++i) {
     catalog::EndpointTable change;
-    const std::string comes = nth(i), goes = nth(i - 100);
+    const std::string added_id = id_of(i), deleted_id = id_of(i - 100);
     catalog::Entry entry;
-    entry.id = comes;
+    entry.id = added_id;
     entry.kind = "plain";
     entry.cell = i;
     change.put(entry);
-    entry.id = goes;
+    entry.id = deleted_id;
     entry.state = catalog::EndpointState::deleted;
     change.put(entry);
     endpoints_.take_changes(1, change, true, events_);
@@ -258,12 +260,12 @@
   EXPECT_EQ(endpoints_.list().size(), 100U);
   EXPECT_LE(endpoints_.list().bytes(), before);
   EXPECT_TRUE(endpoints_.is_destination(99'000));
-  EXPECT_FALSE(endpoints_.is_destination(1'000));  // gone for long
+  EXPECT_FALSE(endpoints_.is_destination(1'000));  // removed long ago
   EXPECT_FALSE(dialect_.hosts.find("e99999"));
 }
 
 TEST(ConfigTextTest, TheListIsTakenOutOfATextCutAtAnyByte) {
-  const std::string known = text_of(many(3), true, 41);
+  const std::string known = list_json(make_entries(3), true, 41);
   const std::string text = R"({"name":"known","a":{"known":{"x":[1]}},"s":"\"}","known": )" + known +
                            R"(,"b":[{}],"known ":{},"last":1})";
   const std::string rest = R"({"name":"known","a":{"known":{"x":[1]}},"s":"\"}","known": null)"
@@ -286,7 +288,7 @@
 
 // ------------------------------------------------------------------------------------- in a relay
 
-// More destinations than are awake, few of which have an endpoint that answers.
+// A list with more destinations than the limit on active ones. Only a few have an endpoint that answers.
 class LongListTest : public RelayTest {
  protected:
   static constexpr int kMany = 6'000;
@@ -317,7 +319,7 @@
     return {{"version", version}, {"full", false}, {"servers", json::array{entry}}};
   }
   std::string call_second(const std::string& line) { return test::call(admin_address_, line); }
-  // A change by which it is seen that all before it has been taken.
+  // Pushes a last change. Once it is in force (await_last), all earlier ones are too.
   void push_last(std::int64_t version) {
     list_host("last", 9, "plain", "127.0.0.1:9");
     push(change("last", "SERVING", version));
@@ -336,7 +338,7 @@
   ASSERT_EQ(submit("a", "note", 1), 202U);
   ASSERT_TRUE(wait_delivered("a"));
   EXPECT_EQ(submit("b", "note", 999), 503U);
-  EXPECT_EQ(call_second("OFFLINE h2"), "ACK");  // both rest
+  EXPECT_EQ(call_second("OFFLINE h2"), "ACK");  // destinations 2 and 3 are inactive
   push(change("h4", "DRAINING", 6));
   push_last(7);
   await_last();
@@ -354,9 +356,9 @@
   changed["known"] = list();
   start(changed);
   const std::string whole = json::serialize(long_list(7));
-  const std::vector<std::string> spoilt = {whole.substr(0, whole.size() - 1),
-                                           whole.substr(0, 100'000) + "}}" + whole.substr(100'000)};
-  for (const std::string& text : spoilt) {
+  const std::vector<std::string> corrupt = {whole.substr(0, whole.size() - 1),
+                                            whole.substr(0, 100'000) + "}}" + whole.substr(100'000)};
+  for (const std::string& text : corrupt) {
     watched_.change([&] {
       pushed_ = {text};
       watches_to_end_ = 0;
@@ -371,7 +373,7 @@
     pushed_ = {whole};
     watches_to_end_ = 0;
   });
-  push(change("h1", "DRAINING", 8));  // right behind it
+  push(change("h1", "DRAINING", 8));  // immediately after the list
   push_last(9);
   await_last();
   EXPECT_EQ(call_second("ONLINE far0"), "ACK");
--- a/tests/landed_list.h
+++ b/tests/reference_list_parser.h
@@ -1,5 +1,5 @@
-// The reader of a list that was in the relay up to December 2026, which built a JSON tree of it: what the
-// catalogue's reader is compared with.
+// A reference parser for discovery's lists, which reads the whole JSON text into a tree. The relay used it up
+// to December 2026; the tests compare the incremental list reader with it.
 #pragma once
 
 #include <boost/asio/error.hpp>
@@ -23,11 +23,11 @@
 
 struct ListUpdate {
   std::int64_t version = 0;
-  bool full = false;  // replaces the list; otherwise the entries that changed
+  bool full = false;  // true: replaces all known hosts; false: lists changes only
   std::vector<ListedHost> hosts;
 };
 
-namespace landed {
+namespace reference {
 
 namespace json = boost::json;
 using vetchhinge::HostState;
@@ -54,7 +54,7 @@
   return std::nullopt;
 }
 
-inline std::string text_or_empty(const json::object& entry, std::string_view field) {
+inline std::string string_or_empty(const json::object& entry, std::string_view field) {
   const json::value* value = entry.if_contains(field);
   return value && value->is_string() ? std::string(value->as_string()) : std::string();
 }
@@ -63,10 +63,10 @@
   const json::object* entry = value.if_object();
   if (!entry) return std::nullopt;
   ListedHost listed;
-  listed.host.host = text_or_empty(*entry, "id");
-  listed.host.kind = text_or_empty(*entry, "kind");
-  listed.host.zone = text_or_empty(*entry, "zone");
-  const auto state = parse_state(text_or_empty(*entry, "state"));
+  listed.host.host = string_or_empty(*entry, "id");
+  listed.host.kind = string_or_empty(*entry, "kind");
+  listed.host.zone = string_or_empty(*entry, "zone");
+  const auto state = parse_state(string_or_empty(*entry, "state"));
   if (listed.host.host.empty() || !state) return std::nullopt;
   listed.host.state = *state;
   try {
@@ -78,14 +78,14 @@
     if (const json::value* weight = entry->if_contains("weight"))
       listed.host.scale = weight->to_number<double>();
     if (*state != HostState::gone)
-      listed.address = landed::parse_endpoint(text_or_empty(*entry, "addr"), "addr");
+      listed.address = reference::parse_endpoint(string_or_empty(*entry, "addr"), "addr");
   } catch (const std::exception&) {
     return std::nullopt;
   }
   return listed;
 }
 
-}  // namespace landed
+}  // namespace reference
 
 inline ListUpdate parse_list(const boost::json::value& value) {
   const boost::json::object* object = value.if_object();
@@ -99,7 +99,7 @@
   const boost::json::value* servers = object->if_contains("servers");
   if (!servers || !servers->is_array()) throw std::invalid_argument("servers: not a list");
   for (const boost::json::value& entry : servers->as_array()) {
-    if (auto host = landed::parse_host(entry)) update.hosts.push_back(std::move(*host));
+    if (auto host = reference::parse_host(entry)) update.hosts.push_back(std::move(*host));
   }
   return update;
 }
