--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -138,7 +138,7 @@
   if (const json::value* known = root.if_contains("known"); known && known->is_object()) {
     reject("known", "the field name must not contain JSON escapes");
   }
-  config.known_hosts = std::make_shared<WholeList>(source.take_known_hosts());
+  config.known_hosts = std::make_shared<HostListSnapshot>(source.take_known_hosts());
 
   if (const json::value* fleet = root.if_contains("fleet")) {
     if (!fleet->is_object()) reject("fleet", "not an object");
--- a/relay/config.h
+++ b/relay/config.h
@@ -36,8 +36,9 @@
   vetchhinge::Duration connect_timeout{};
   vetchhinge::drill::Dialect dialect;
   std::chrono::steady_clock::time_point read_at{};  // when the file was opened
+
   // The field `known`: the list of hosts that this relay last received. Its consumer moves it out.
-  std::shared_ptr<WholeList> known_hosts;
+  std::shared_ptr<HostListSnapshot> known_hosts;
 };
 
 inline constexpr std::size_t kNoDescriptorLimit = std::numeric_limits<std::size_t>::max();
--- a/relay/config_reader.h
+++ b/relay/config_reader.h
@@ -24,14 +24,14 @@
   // Returns the text with null in place of the list, once all chunks are read. If the list was truncated, the
   // result is not valid JSON.
   const std::string& json_without_hosts() const { return json_; }
-  WholeList take_known_hosts() { return std::move(known_hosts_); }
+  HostListSnapshot take_known_hosts() { return std::move(known_hosts_); }
 
  private:
   void scan(char c);
 
   bool read_list_;
   valedrum::catalog::ListReader reader_;
-  WholeList known_hosts_;
+  HostListSnapshot known_hosts_;
   std::string json_;
   std::string key_;  // the last string at the top level, or its first bytes
   std::size_t depth_ = 0;
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -50,7 +50,7 @@
 
 void Discovery::watch(std::int64_t from) {
   if (watch_) return;
-  versions_.hold(from);
+  versions_.set_held(from);
   watch_again();
 }
 
@@ -59,13 +59,13 @@
   spawn(executor_, run_watch(watch_));
 }
 
-void Discovery::move(const Endpoint& address, std::int64_t from) {
+void Discovery::set_address(const Endpoint& address, std::int64_t from) {
   if (address == address_) return;
   address_ = address;
   // The old service may go on for a while: nothing that it still says may be mixed with what the new one
   // says.
   if (const Stream old = std::exchange(watch_, nullptr)) old->close();
-  versions_.move();
+  versions_.reset();
   watch(from);
   notices_.set_address(address);
 }
@@ -76,22 +76,22 @@
 }
 
 asio::awaitable<void> Discovery::run_watch(Stream stream) {
-  WatchClock clock(SteadyClock::now());
-  co_await read_changes(stream, clock);
+  WatchDeadline deadline(SteadyClock::now());
+  co_await read_changes(stream, deadline);
   if (watch_ != stream) co_return;  // another has taken its place
   watch_ = nullptr;
-  if (versions_.reopen()) co_return watch_again();
-  on_lost_(SteadyClock::now() -
-               std::min(clock.heard(), versions_.behind().value_or(SteadyClock::time_point::max())),
+  if (versions_.needs_full_list()) co_return watch_again();
+  on_lost_(SteadyClock::now() - std::min(deadline.last_complete_at(),
+                                         versions_.behind_since().value_or(SteadyClock::time_point::max())),
            std::min(kWatchAgain * (1 << std::min(spoilt_, kMostDoublings)), kWatchAgainMost));
 }
 
-asio::awaitable<void> Discovery::read_changes(Stream connection, WatchClock& clock) {
+asio::awaitable<void> Discovery::read_changes(Stream connection, WatchDeadline& deadline) {
   beast::tcp_stream& stream = *connection;
-  stream.expires_at(clock.deadline());
+  stream.expires_at(deadline.deadline());
   const auto [connect_error] = co_await stream.async_connect(address_, kAwait);
   if (connect_error || watch_ != connection) co_return;
-  const std::string from = std::to_string(versions_.open());
+  const std::string from = std::to_string(versions_.begin_watch());
   http::request<http::empty_body> request{http::verb::get, "/catalog/members?watch=1&from=" + from, 11};
   request.set(http::field::host, host_of(address_));
   const std::string bytes = to_bytes(request);
@@ -107,13 +107,13 @@
   catalog::ListReader reader;
   bool good = true, open = true;
   while (good && open && !parser.is_done()) {
-    stream.expires_at(std::min(clock.deadline(), versions_.deadline()));
+    stream.expires_at(std::min(deadline.deadline(), versions_.deadline()));
     const auto [error, count] = co_await http::async_read_some(stream, buffer, parser, kAwait);
     if (watch_ != connection) break;
     const std::string piece = std::exchange(parser.get().body(), {});
     bool ended = false;
     good = co_await take(reader, piece, connection, ended);
-    clock.came(SteadyClock::now(), piece.size(), ended);
+    deadline.on_bytes(SteadyClock::now(), piece.size(), ended);
     open = !error;
   }
   if (reader.entries().size() == 0) co_return;
@@ -149,8 +149,8 @@
 }
 
 bool Discovery::may_take(std::int64_t version) {
-  const bool was_behind = versions_.behind().has_value();
-  if (versions_.take(SteadyClock::now(), version)) return true;
+  const bool was_behind = versions_.behind_since().has_value();
+  if (versions_.accept(SteadyClock::now(), version)) return true;
   if (!was_behind) {
     std::cerr << "discovery: a list of version " << version << " is older than the one held" << std::endl;
   }
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -16,7 +16,7 @@
 #include "host_list.h"
 #include "journal.h"
 #include "notice_sender.h"
-#include "watch_clock.h"
+#include "watch_deadline.h"
 
 namespace myrtlegrade {
 
@@ -38,15 +38,15 @@
 
   // Watches and reports at another address from now on: a watch begins there at once, and notices that have
   // no answer yet are sent there again.
-  void move(const Endpoint& address, std::int64_t from);
+  void set_address(const Endpoint& address, std::int64_t from);
 
   // Watches and reports no more: another process does.
   void stop();
 
   // Sent again until the platform has taken it.
-  void send(Notice notice) { notices_.send(std::move(notice)); }
+  void send_notice(Notice notice) { notices_.send(std::move(notice)); }
   // Keeps a connection open ahead of notices.
-  void stand_ready_for_notices() { notices_.keep_connected(); }
+  void keep_notices_connected() { notices_.keep_connected(); }
   bool notices_pending() const { return notices_.pending(); }
 
  private:
@@ -54,7 +54,7 @@
 
   void watch_again();
   boost::asio::awaitable<void> run_watch(Stream stream);
-  boost::asio::awaitable<void> read_changes(Stream stream, WatchClock& clock);
+  boost::asio::awaitable<void> read_changes(Stream stream, WatchDeadline& deadline);
   boost::asio::awaitable<bool> take(valedrum::catalog::ListReader& reader, std::string_view bytes,
                                     Stream connection, bool& ended);
   bool may_take(std::int64_t version);
@@ -64,7 +64,7 @@
   OnList on_list_;
   OnLost on_lost_;
   int spoilt_ = 0;  // lists in a row that were cut or can't be read
-  ListVersions versions_;
+  ListVersionFilter versions_;
   Stream watch_;  // the connection of the watch that counts; none: not watching
   NoticeSender notices_;
 };
--- a/relay/endpoints.cpp
+++ b/relay/endpoints.cpp
@@ -21,7 +21,7 @@
 // rack or a zone may all be replaced, which takes minutes. 64 bytes each (ours).
 constexpr std::size_t kMostGone = 65'536;
 
-// Entries looked through in one slice of tidy(): under a millisecond (ours).
+// Entries looked through in one slice of run_cleanup_slice(): under a millisecond (ours).
 constexpr std::size_t kLooked = 1'024;
 
 constexpr std::size_t kChanges = 1'024;  // taken at once: two or three milliseconds (ours)
@@ -45,8 +45,8 @@
 
 // ------------------------------------------------------------------------------------------- the list
 
-void Endpoints::take_whole(std::int64_t version, catalog::EndpointTable list, vetchhinge::HostList::Kind kind,
-                           Events& events) {
+void Endpoints::replace_list(std::int64_t version, catalog::EndpointTable list,
+                             vetchhinge::HostList::Kind kind, Events& events) {
   version_ = version;
   Change change;
   change.told.kind = kind;
@@ -71,8 +71,8 @@
   finish(std::move(change), events);
 }
 
-bool Endpoints::take_changes(std::int64_t version, const catalog::EndpointTable& changes, bool first,
-                             Events& events) {
+bool Endpoints::apply_changes(std::int64_t version, const catalog::EndpointTable& changes, bool first,
+                              Events& events) {
   if (first) next_change_ = 0;
   Change change;
   change.told.kind = vetchhinge::HostList::Kind::changes;
@@ -135,13 +135,13 @@
   const auto kind = kind_of(entry);
   if (!kind) return;
   const std::string name(entry.id);
-  HostId id = number(name);
+  HostId id = host_id(name);
   if (const auto known = hosts_.find(id); known != hosts_.end() && known->second.cell != entry.cell) {
     // It serves another destination by now. What the module knows under its number belongs to the one before.
     tell_gone(id, known->second, change);
     change.named.push_back(id);
     dialect_.hosts.release_name(static_cast<std::uint32_t>(id));
-    id = number(name);
+    id = host_id(name);
     if (journal_.disabled_hosts().contains(name)) change.out_by_hand.push_back(id);
   }
   Host& host = hosts_[id];
@@ -166,7 +166,7 @@
 
 void Endpoints::finish(Change change, Events& events) {
   for (const HostId id : change.ran) {
-    if (const auto host = hosts_.find(id); host != hosts_.end() && !host->second.running) withhold(id);
+    if (const auto host = hosts_.find(id); host != hosts_.end() && !host->second.running) cancel_unsent(id);
   }
   for (const HostId id : change.named) forget_if_gone(id);
   known_ = known_ || !hosts_.empty() || !has_room();
@@ -174,7 +174,7 @@
   for (const HostId id : change.out_by_hand) events.emplace_back(vetchhinge::OperatorHostOverride{id, true});
 }
 
-bool Endpoints::tidy() {
+bool Endpoints::run_cleanup_slice() {
   if (replaced_.empty()) return false;
   Replaced& old = replaced_.front();
   if (!old.looked_through) {
@@ -223,7 +223,7 @@
 
 // --------------------------------------------------------------------------------- awake destinations
 
-void Endpoints::wake(std::uint64_t cell, Events& events) {
+void Endpoints::activate(std::uint64_t cell, Events& events) {
   if (awake_.contains(cell)) return;
   Change change;
   change.told.kind = vetchhinge::HostList::Kind::changes;
@@ -231,11 +231,11 @@
   if (!change.told.entries.empty()) finish(std::move(change), events);
 }
 
-void Endpoints::wake(HostId id, Events& events) {
-  if (const auto slot = list_.find(name(id))) wake(list_.at(*slot).cell, events);
+void Endpoints::activate(HostId id, Events& events) {
+  if (const auto slot = list_.find(name(id))) activate(list_.at(*slot).cell, events);
 }
 
-void Endpoints::put_away(std::uint64_t cell) {
+void Endpoints::evict(std::uint64_t cell) {
   const auto awake = awake_.extract(cell);
   if (!awake) return;
   for (const HostId id : awake.mapped()) {
@@ -251,7 +251,7 @@
   const auto found = hosts_.find(id);
   if (found == hosts_.end() || found->second.listed) return;
   client_.close_idle(id);
-  if (found->second.out > 0) return;
+  if (found->second.attempts_in_flight > 0) return;
   if (found->second.member) std::erase(awake_.at(found->second.cell), id);
   hosts_.erase(found);
   // What is taken out by hand comes back under its number: the module knows the ban by it.
@@ -270,41 +270,41 @@
   return slot && kind_of(list_.at(*slot));
 }
 
-void Endpoints::forget_name(const std::string& name) {
+void Endpoints::release_name(const std::string& name) {
   const auto number = dialect_.hosts.find(name);
   if (number && !hosts_.contains(HostId(*number))) dialect_.hosts.forget(*number);
 }
 
-void Endpoints::call_over(HostId id) {
-  --hosts_.at(id).out;
+void Endpoints::on_call_ended(HostId id) {
+  --hosts_.at(id).attempts_in_flight;
   forget_if_gone(id);
 }
 
-HostId Endpoints::call_elsewhere(const std::string& name, std::uint64_t cell, const std::string& zone) {
-  const HostId id = number(name);
+HostId Endpoints::add_predecessor_call(const std::string& name, std::uint64_t cell, const std::string& zone) {
+  const HostId id = host_id(name);
   const auto [host, added] = hosts_.try_emplace(id);
   if (added) {  // gone from the list meanwhile
     host->second.cell = cell;
     host->second.zone = zone;
   }
-  ++host->second.out;
+  ++host->second.attempts_in_flight;
   return id;
 }
 
-void Endpoints::withhold(HostId id) {
+void Endpoints::cancel_unsent(HostId id) {
   const auto host = hosts_.find(id);
   if (host == hosts_.end()) return;  // it sleeps: nothing is on its way there
-  ++host->second.withheld;
-  client_.withhold(id);
+  ++host->second.unsent_cancellations;
+  client_.cancel_unsent(id);
 }
 
-void Endpoints::withhold_told(HostId id) {
+void Endpoints::cancel_unsent_in_limit_group(HostId id) {
   const Host& told = hosts_.at(id);
-  withhold(id);
+  cancel_unsent(id);
   const auto awake = awake_.find(told.cell);
   if (settings_.kinds[told.kind].per_host_limits || awake == awake_.end()) return;
   for (const HostId other : awake->second) {
-    if (other != id) withhold(other);
+    if (other != id) cancel_unsent(other);
   }
 }
 
--- a/relay/endpoints.h
+++ b/relay/endpoints.h
@@ -36,9 +36,9 @@
     bool running = false;
     std::string zone;
     std::uint32_t kind = 0;
-    bool member = false;         // of awake_'s list of its cell
-    std::size_t out = 0;         // attempts without an outcome
-    std::uint64_t withheld = 0;  // so often was what is on its way to it called back
+    bool member = false;                     // of awake_'s list of its cell
+    std::size_t attempts_in_flight = 0;      // attempts without an outcome
+    std::uint64_t unsent_cancellations = 0;  // so often was what is on its way to it called back
   };
 
   // All four outlive it. What an endpoint that drains or goes must not get any more is called back from
@@ -47,49 +47,50 @@
             HostClient& client);
 
   // ------------------------------------------------------------------------------------- the list
-  // In place of what was known; `kind` says to the module where it comes from. tidy() has work then.
-  void take_whole(std::int64_t version, valedrum::catalog::EndpointTable list,
-                  vetchhinge::HostList::Kind kind, Events& events);
+  // In place of what was known; `kind` says to the module where it comes from. run_cleanup_slice() has work
+  // then.
+  void replace_list(std::int64_t version, valedrum::catalog::EndpointTable list,
+                    vetchhinge::HostList::Kind kind, Events& events);
   // Costs the same at any size of the list. Many are taken in parts, the first of them with `first`; true: to
   // be called again for the rest, with nothing else taken in between. The version is the new one from the
   // last part on: until then all of them may have to be asked for again.
-  bool take_changes(std::int64_t version, const valedrum::catalog::EndpointTable& changes, bool first,
-                    Events& events);
+  bool apply_changes(std::int64_t version, const valedrum::catalog::EndpointTable& changes, bool first,
+                     Events& events);
   // A part of what a whole list leaves to do, of about a millisecond. False: nothing is left.
-  bool tidy();
+  bool run_cleanup_slice();
 
   const valedrum::catalog::EndpointTable& list() const { return list_; }
   std::int64_t version() const { return version_; }
-  bool known() const { return known_; }  // some endpoint is, or was
+  bool has_seen_endpoints() const { return known_; }  // some endpoint is, or was
 
   // Listed, or lately: one whose endpoints are all being replaced is still a destination.
   bool is_destination(std::uint64_t cell) const;
 
   // ------------------------------------------------------------------------------ awake destinations
   // To be called before the module gets a message for it.
-  void wake(std::uint64_t cell, Events& events);
+  void activate(std::uint64_t cell, Events& events);
   // That of an endpoint which another process knew.
-  void wake(HostId id, Events& events);
+  void activate(HostId id, Events& events);
   // The module has dropped all that it kept of it.
-  void put_away(std::uint64_t cell);
+  void evict(std::uint64_t cell);
 
   // ------------------------------------------------------------------------------- single endpoints
   const Host& at(HostId id) const { return hosts_.at(id); }
   const std::string& name(HostId id) const { return dialect_.hosts.name(static_cast<std::uint32_t>(id)); }
   bool is_known(const std::string& name) const;
-  HostId number(const std::string& name) { return HostId{dialect_.hosts.number(name)}; }
+  HostId host_id(const std::string& name) { return HostId{dialect_.hosts.number(name)}; }
   // Where its ban was lifted: the number of one that is gone, or sleeps, is not needed any more.
-  void forget_name(const std::string& name);
+  void release_name(const std::string& name);
 
-  void call_begins(HostId id) { ++hosts_.at(id).out; }
-  void call_over(HostId id);
+  void on_call_started(HostId id) { ++hosts_.at(id).attempts_in_flight; }
+  void on_call_ended(HostId id);
   // A call of an earlier process, which may have gone to one that is not listed any more. Its destination is
   // awake.
-  HostId call_elsewhere(const std::string& name, std::uint64_t cell, const std::string& zone);
+  HostId add_predecessor_call(const std::string& name, std::uint64_t cell, const std::string& zone);
 
   // What has not begun to go out must not any more: to one, or, after a told wait, to all that share it.
-  void withhold(HostId id);
-  void withhold_told(HostId id);
+  void cancel_unsent(HostId id);
+  void cancel_unsent_in_limit_group(HostId id);
 
  private:
   // Destinations that have left the list, the last kMost of them.
--- a/relay/handover_frames.cpp
+++ b/relay/handover_frames.cpp
@@ -151,9 +151,9 @@
 }
 
 RecordWriter& write_result(RecordWriter& out, const CallResult& r) {
-  out.number(static_cast<std::uint64_t>(r.result)).flag(r.over);
-  out.duration(r.wait).duration(r.elapsed).flag(r.report.has_value());
-  const auto report = r.report.value_or(vetchhinge::LimitReport{});
+  out.number(static_cast<std::uint64_t>(r.result)).flag(r.terminal);
+  out.duration(r.wait_hint).duration(r.elapsed).flag(r.limit_report.has_value());
+  const auto report = r.limit_report.value_or(vetchhinge::LimitReport{});
   out.real(report.share_left).real(report.calls_per_second);
   return out.flag(r.connection.established).duration(r.connection.idle);
 }
@@ -161,14 +161,14 @@
 CallResult read_result(RecordReader& in) {
   CallResult r;
   r.result = static_cast<vetchhinge::Result>(in.number());
-  r.over = in.flag();
-  r.wait = in.duration();
+  r.terminal = in.flag();
+  r.wait_hint = in.duration();
   r.elapsed = in.duration();
   const bool has_report = in.flag();
   vetchhinge::LimitReport report;
   report.share_left = in.real();
   report.calls_per_second = in.real();
-  if (has_report) r.report = report;
+  if (has_report) r.limit_report = report;
   r.connection.established = in.flag();
   r.connection.idle = in.duration();
   return r;
--- a/relay/handover_frames.h
+++ b/relay/handover_frames.h
@@ -61,7 +61,7 @@
 
 // State that the predecessor passes on beside the journal.
 struct HandoverState {
-  WholeList list;  // filled when read; write_handover_state() takes the list to write as an argument
+  HostListSnapshot list;  // filled when read; write_handover_state() takes the list to write as an argument
   vetchhinge::LearnedState learned;
   std::vector<HandedOverAttempt> in_flight;
   bool leaving = false;         // an operator has asked the relay to leave
--- a/relay/host_client.cpp
+++ b/relay/host_client.cpp
@@ -12,7 +12,7 @@
 
 #include "coroutine.h"
 #include "host_client_call.h"
-#include "host_texts.h"
+#include "host_protocol.h"
 #include "stream_io.h"
 
 namespace myrtlegrade {
@@ -60,11 +60,12 @@
   return names[static_cast<std::size_t>(end)];
 }
 
-HostClient::HostClient(asio::any_io_executor executor, Limits limits, Report report, Over over)
+HostClient::HostClient(asio::any_io_executor executor, Limits limits, OnResult on_result,
+                       OnCallEnd on_call_end)
     : executor_(std::move(executor)),
       limits_(limits),
-      report_(std::move(report)),
-      over_(std::move(over)),
+      on_result_(std::move(on_result)),
+      on_call_end_(std::move(on_call_end)),
       reap_timer_(executor_) {
   spawn(executor_, reap());
 }
@@ -79,7 +80,7 @@
   std::vector<std::vector<CallItem>> parts(1);
   std::size_t size = 2;
   for (CallItem& item : items) {
-    const std::size_t share = bulk_share(*item.payload);
+    const std::size_t share = bulk_item_size(*item.payload);
     if (!parts.back().empty() && size + share > kMostBody) {
       parts.emplace_back();
       size = 2;
@@ -94,14 +95,14 @@
 void HostClient::start(std::uint64_t number, HostId host, const Endpoint& address,
                        std::vector<CallItem> items) {
   // Descriptors are bounded: idle connections make room, then what has no room is not sent.
-  if (calls_.size() + idle_count_ >= limits_.most) drop_longest_idle();
+  if (calls_.size() + idle_count_ >= limits_.max_connections) drop_longest_idle();
   auto call = std::make_shared<Call>(executor_);
   call->number = number;
   call->host = host;
   call->address = address;
   call->reported.assign(items.size(), false);
   call->items = std::move(items);
-  if (calls_.size() >= limits_.most) {
+  if (calls_.size() >= limits_.max_connections) {
     asio::post(executor_, [this, call] {
       report_rest(*call, Result::not_sent);
       end(*call, CallEnd::withheld);
@@ -114,7 +115,7 @@
   spawn(executor_, keep_time(call));
 }
 
-void HostClient::withhold(HostId host) {
+void HostClient::cancel_unsent(HostId host) {
   for (const auto& call : calls_) {
     if (call->host != host || call->connected) continue;
     call->withheld = true;
@@ -122,13 +123,13 @@
   }
 }
 
-void HostClient::withhold_all() {
+void HostClient::cancel_all_unsent() {
   for (const auto& call : all_calls()) {
     if (!call->connected) cut(*call, Result::not_sent, CallEnd::withheld);
   }
 }
 
-void HostClient::cut_all() {
+void HostClient::abort_all() {
   for (const auto& call : all_calls()) {
     cut(*call, call->connected ? Result::cancelled : Result::not_sent, CallEnd::cut);
   }
@@ -154,9 +155,9 @@
   idle_count_ = 0;
 }
 
-void HostClient::limit(std::size_t most_idle, std::size_t most) {
-  limits_.most_idle = most_idle;
-  limits_.most = most;
+void HostClient::set_connection_limits(std::size_t max_idle, std::size_t max_connections) {
+  limits_.max_idle = max_idle;
+  limits_.max_connections = max_connections;
 }
 
 asio::awaitable<void> HostClient::run(std::shared_ptr<Call> call) {
@@ -177,7 +178,7 @@
   if (call->reusable) keep_idle(*call);
   call->connection = nullptr;
   calls_.erase(call);
-  if (limits_.after_reports) limits_.after_reports();
+  if (limits_.after_results) limits_.after_results();
 }
 
 asio::awaitable<bool> HostClient::connect(Call& call) {
@@ -217,7 +218,7 @@
   const std::shared_ptr<Connection> connection = call.connection;
   const auto error = co_await write_all(StreamUse::calls, connection->socket, bytes);
   if (error) co_return false;
-  asio::steady_timer limit(executor_, limits_.proof);
+  asio::steady_timer limit(executor_, limits_.verification_time);
   const auto waits = std::make_shared<bool>(true);
   limit.async_wait([connection, waits](boost::system::error_code aborted) {
     boost::system::error_code ignored;
@@ -279,7 +280,7 @@
     bool more = true;
     while (more && !head_came() && buffer.size() < kMostHead) more = co_await read_some(call);
     // For one message the first line counts, also if nothing behind it can be read.
-    const bool single_delivered = call.items.size() == 1 && says_delivered(view(buffer));
+    const bool single_delivered = call.items.size() == 1 && has_ok_status_line(view(buffer));
     http::response_parser<http::string_body> parser;
     parser.body_limit(kMostBody);
     parser.header_limit(kMostHead);
@@ -305,7 +306,7 @@
     if (status == 101) co_return;  // nobody asked for another protocol
     if (status / 100 == 1) continue;
     const bool each = call.items.size() > 1 && status == 200;
-    if (each && read_states(parser.get().body()).empty()) co_return;
+    if (each && read_bulk_states(parser.get().body()).empty()) co_return;
     call.answered = true;
     if (!single_delivered) answered(call, status, parser.get().body(), parser.get());
     // A connection that brings more than the answer is of no further use.
@@ -315,21 +316,21 @@
 }
 
 void HostClient::answered(Call& call, unsigned status, const std::string& body, const http::fields& head) {
-  const Duration wait = told_wait(head);
-  const auto load = limits_.reports ? told_report(head) : std::nullopt;
+  const Duration wait = read_wait_hint(head);
+  const auto load = limits_.reads_limit_reports ? read_limit_report(head) : std::nullopt;
   const bool each = call.items.size() > 1 && status == 200;
-  const auto states = each ? read_states(body) : decltype(read_states(body)){};
+  const auto states = each ? read_bulk_states(body) : decltype(read_bulk_states(body)){};
   for (std::size_t i = 0; i < call.items.size(); ++i) {
     CallResult result = result_of(status);
     // Turned away for want of a slot of this relay's own: that says nothing of the host.
-    if (status == 503 && own_slots(head)) result.result = Result::not_sent;
+    if (status == 503 && is_own_slot_limit(head)) result.result = Result::not_sent;
     if (each) {
       const auto found = states.find(call.items[i].payload->id);
       // One that the answer doesn't name may have run.
       result = result_of(found == states.end() ? std::string_view("failed") : found->second);
     }
-    result.wait = wait;
-    result.report = load;
+    result.wait_hint = wait;
+    result.limit_report = load;
     report(call, i, result);
   }
 }
@@ -339,7 +340,7 @@
   call.reported[item] = true;
   result.elapsed = since(call.started);
   result.connection = call.used;
-  report_(call.host, call.items[item], result);
+  on_result_(call.host, call.items[item], result);
 }
 
 void HostClient::report_rest(Call& call, Result result) {
@@ -351,7 +352,7 @@
   const auto parts = parts_.find(call.number);
   if (--parts->second > 0) return;
   parts_.erase(parts);
-  over_(call.number, end);
+  on_call_end_(call.number, end);
 }
 
 // When something is due next, and whether anything is waited for still.
@@ -384,11 +385,11 @@
     if (never_up || too_late || due.at <= now || due.at == SteadyTime::max() || !due.one_waits) {
       call->close(CallEnd::timed_out);
       report_timed_out(*call, now);
-      if (limits_.after_reports) limits_.after_reports();
+      if (limits_.after_results) limits_.after_results();
       co_return;
     }
     report_timed_out(*call, now);
-    if (limits_.after_reports) limits_.after_reports();
+    if (limits_.after_results) limits_.after_results();
     const SteadyTime next = std::min(due.at, call->arrive_by);
     call->timer.expires_at(call->connected ? next : std::min(next, call->connect_deadline));
     co_await call->timer.async_wait(kAwait);
@@ -417,7 +418,7 @@
 }
 
 void HostClient::keep_idle(Call& call) {
-  if (idle_count_ >= limits_.most_idle) return;
+  if (idle_count_ >= limits_.max_idle) return;
   call.connection->idle_since = std::chrono::steady_clock::now();
   call.connection->buffer.shrink_to_fit();
   idle_[call.host].push_back(std::move(call.connection));
@@ -434,7 +435,7 @@
 }
 
 asio::awaitable<void> HostClient::reap() {
-  const auto most = std::chrono::duration_cast<Duration>(kIdleShare * limits_.idle);
+  const auto most = std::chrono::duration_cast<Duration>(kIdleShare * limits_.server_idle_timeout);
   while (true) {
     reap_timer_.expires_after(kReapEvery);
     const auto [error] = co_await reap_timer_.async_wait(kAwait);
--- a/relay/host_client.h
+++ b/relay/host_client.h
@@ -38,7 +38,7 @@
   vetchhinge::MessageId message{};
   std::uint32_t attempt = 0;
   std::shared_ptr<const Payload> payload;
-  vetchhinge::Time until{};  // its answer counts no longer; by steady_time(), as all moments here
+  vetchhinge::Time deadline{};  // its answer counts no longer; by steady_time(), as all moments here
   vetchhinge::Duration max_connection_idle =
       vetchhinge::Duration::max();  // of the connection that carries it
   bool verify_connection = false;   // the last byte waits until the connection has stood the others
@@ -47,10 +47,10 @@
 
 struct CallResult {
   vetchhinge::Result result = vetchhinge::Result::delivered;
-  bool over = false;            // the host knows that nothing more is owed for the message
-  vetchhinge::Duration wait{};  // stay away from the destination so long
+  bool terminal = false;             // the host knows that nothing more is owed for the message
+  vetchhinge::Duration wait_hint{};  // stay away from the destination so long
   vetchhinge::Duration elapsed{};
-  std::optional<vetchhinge::LimitReport> report{};
+  std::optional<vetchhinge::LimitReport> limit_report{};
   vetchhinge::ConnectionUsed connection{};
 };
 
@@ -66,24 +66,24 @@
  public:
   struct Limits {
     vetchhinge::Duration connect_timeout{};
-    vetchhinge::Duration idle{};  // the host closes a connection that has stood idle so long
-    std::size_t most_idle = 0;    // idle connections to all hosts
-    std::size_t most = 0;         // connections to all hosts, idle or with a call
-    bool reports = false;         // answers may tell what is left of a host's limit
+    vetchhinge::Duration server_idle_timeout{};  // the host closes a connection that has stood idle so long
+    std::size_t max_idle = 0;                    // idle connections to all hosts
+    std::size_t max_connections = 0;             // connections to all hosts, idle or with a call
+    bool reads_limit_reports = false;            // answers may tell what is left of a host's limit
     // What breaks a connection that was dropped or is not wanted comes this soon after the first bytes on it.
-    vetchhinge::Duration proof = std::chrono::milliseconds(20);
+    vetchhinge::Duration verification_time = std::chrono::milliseconds(20);
     // Asked just before the last byte of a call goes out, from which on it may run. It records that, and
     // answers whether the call may go out; empty: it may.
     std::function<bool(const std::vector<CallItem>&)> before_last_byte{};
     std::string via{};  // who says so in each call; empty: nobody
     // Behind reports, in the same turn of the event loop: this client may be called again by then.
-    std::function<void()> after_reports{};
+    std::function<void()> after_results{};
   };
-  using Report = std::function<void(vetchhinge::HostId, const CallItem&, const CallResult&)>;
+  using OnResult = std::function<void(vetchhinge::HostId, const CallItem&, const CallResult&)>;
   // The call of that number is over, and each of its items was reported before.
-  using Over = std::function<void(std::uint64_t call, CallEnd end)>;
+  using OnCallEnd = std::function<void(std::uint64_t call, CallEnd end)>;
 
-  HostClient(boost::asio::any_io_executor executor, Limits limits, Report report, Over over);
+  HostClient(boost::asio::any_io_executor executor, Limits limits, OnResult on_result, OnCallEnd on_call_end);
   ~HostClient();
 
   // One call, under a number that no other has; several items travel as a bulk call, or as more where one
@@ -93,24 +93,24 @@
 
   // Ends calls whose request has not begun to go out, as never sent. What was decided before a host drained,
   // or before it told us to wait, must not reach it once its connection is up.
-  void withhold(vetchhinge::HostId host);
+  void cancel_unsent(vetchhinge::HostId host);
 
   // The same of all hosts, done when it returns: what is out after that may run already.
-  void withhold_all();
+  void cancel_all_unsent();
 
   // Ends all calls at once: their connections are closed when it returns.
-  void cut_all();
+  void abort_all();
 
   void close_idle(vetchhinge::HostId host);
 
   void close_all_idle();
 
   // So many connections at most from now on, and so many of them idle.
-  void limit(std::size_t most_idle, std::size_t most);
+  void set_connection_limits(std::size_t max_idle, std::size_t max_connections);
 
-  std::size_t calls_out() const { return calls_.size(); }
-  std::size_t connections() const { return calls_.size() + idle_count_; }
-  std::uint64_t opened() const { return opened_; }  // connections, since the start
+  std::size_t calls_in_flight() const { return calls_.size(); }
+  std::size_t connection_count() const { return calls_.size() + idle_count_; }
+  std::uint64_t connections_opened() const { return opened_; }  // connections, since the start
 
  private:
   struct Connection;
@@ -146,8 +146,8 @@
 
   boost::asio::any_io_executor executor_;
   Limits limits_;
-  Report report_;
-  Over over_;
+  OnResult on_result_;
+  OnCallEnd on_call_end_;
   boost::asio::steady_timer reap_timer_;
   std::unordered_map<vetchhinge::HostId, std::vector<std::shared_ptr<Connection>>> idle_;  // newest last
   std::size_t idle_count_ = 0;
--- a/relay/host_client_call.h
+++ b/relay/host_client_call.h
@@ -66,7 +66,7 @@
 struct HostClient::Call {
   explicit Call(const boost::asio::any_io_executor& executor) : timer(executor) {}
 
-  SteadyTime item_deadline(std::size_t i) const { return SteadyTime(items[i].until.time_since_epoch()); }
+  SteadyTime item_deadline(std::size_t i) const { return SteadyTime(items[i].deadline.time_since_epoch()); }
   // The first reason counts.
   void close(CallEnd reason) {
     boost::system::error_code ignored;
--- a/relay/host_list.h
+++ b/relay/host_list.h
@@ -12,7 +12,7 @@
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
-struct WholeList {
+struct HostListSnapshot {
   std::int64_t version = 0;
   valedrum::catalog::EndpointTable entries;
 };
--- a/relay/host_texts.cpp
+++ b/relay/host_protocol.cpp
@@ -1,4 +1,4 @@
-#include "host_texts.h"
+#include "host_protocol.h"
 
 #include <algorithm>
 #include <boost/archive/iterators/base64_from_binary.hpp>
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-std::size_t bulk_share(const Payload& payload) {
+std::size_t bulk_item_size(const Payload& payload) {
   constexpr std::size_t kFrame = 48;  // the names of the fields, quotes, padding
   return payload.id.size() + payload.key.size() + payload.body.size() * 4 / 3 + kFrame;
 }
@@ -51,7 +51,7 @@
   http::request<http::string_body> request{http::verb::post, "/inbox", 11};
   request.set(http::field::host, address.address().to_string() + ":" + std::to_string(address.port()));
   if (!via.empty()) request.set(http::field::via, "1.1 " + via);
-  const auto left = std::ranges::max(items, {}, &CallItem::until).until - steady_time();
+  const auto left = std::ranges::max(items, {}, &CallItem::deadline).deadline - steady_time();
   request.set(
       "X-Timeout-Ms",
       std::to_string(std::chrono::floor<std::chrono::milliseconds>(std::max(left, Duration(1ms))).count()));
@@ -71,7 +71,7 @@
   return std::move(text).str();
 }
 
-Duration told_wait(const http::fields& head) {
+Duration read_wait_hint(const http::fields& head) {
   const auto found = head.find("X-RateLimit-Wait-Ms");
   if (found == head.end()) return {};
   const std::string_view text(found->value().data(), found->value().size());
@@ -82,9 +82,9 @@
   return Duration(static_cast<Duration::rep>(std::min(ms, kMost) * 1000));
 }
 
-bool own_slots(const http::fields& head) { return head["X-Over-Slots"] == "1"; }
+bool is_own_slot_limit(const http::fields& head) { return head["X-Over-Slots"] == "1"; }
 
-std::optional<vetchhinge::LimitReport> told_report(const http::fields& head) {
+std::optional<vetchhinge::LimitReport> read_limit_report(const http::fields& head) {
   const auto found = head.find("X-Server-Load");
   if (found == head.end()) return std::nullopt;
   boost::system::error_code error;
@@ -99,7 +99,7 @@
   return vetchhinge::LimitReport{*share_left, *calls_per_second};
 }
 
-bool says_delivered(std::string_view answer) {
+bool has_ok_status_line(std::string_view answer) {
   const auto end = answer.find_first_of("\r\n");
   if (end == std::string_view::npos) return false;
   const std::string_view line = answer.substr(0, end);
@@ -131,7 +131,7 @@
   return result_of(500);
 }
 
-BulkStates read_states(const std::string& body) {
+BulkStates read_bulk_states(const std::string& body) {
   BulkStates states;
   boost::system::error_code error;
   const json::value parsed = json::parse(body, error);
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -64,14 +64,14 @@
       host_client_(
           executor,
           {.connect_timeout = config_.connect_timeout,
-           .idle = config_.settings.connection_idle,
-           .most_idle = share_of(config_.descriptor_limit, kIdleHostShare),
-           .most = share_of(config_.descriptor_limit, kHostShare),
-           .reports = config_.dialect.share_left && config_.dialect.calls_per_second,
+           .server_idle_timeout = config_.settings.connection_idle,
+           .max_idle = share_of(config_.descriptor_limit, kIdleHostShare),
+           .max_connections = share_of(config_.descriptor_limit, kHostShare),
+           .reads_limit_reports = config_.dialect.share_left && config_.dialect.calls_per_second,
            .before_last_byte =
                [this](const std::vector<CallItem>& items) { return record_before_last_byte(items); },
            .via = config_.copies ? config_.name : "",
-           .after_reports = [this] { decide_due_completions(); }},
+           .after_results = [this] { decide_due_completions(); }},
           [this](HostId host, const CallItem& item, const CallResult& result) {
             on_outcome(host, item, result);
           },
@@ -109,11 +109,11 @@
 void Relay::reserve_descriptors(std::size_t count) {
   const std::size_t left = config_.descriptor_limit - std::min(count, config_.descriptor_limit);
   server_.set_max_connections(share_of(left, kClientShare));
-  host_client_.limit(share_of(left, kIdleHostShare), share_of(left, kHostShare));
+  host_client_.set_connection_limits(share_of(left, kIdleHostShare), share_of(left, kHostShare));
 }
 
 std::size_t Relay::descriptors() const {
-  return server_.connections() + host_client_.connections() + kReservedDescriptors;
+  return server_.connections() + host_client_.connection_count() + kReservedDescriptors;
 }
 
 vetchhinge::Time Relay::now() const { return steady_time(); }
@@ -163,7 +163,7 @@
   open_.emplace(id, std::move(open));
   ++open_count_;
   new_messages_.push_back(id);
-  endpoints_.wake(message.destination, events_);
+  endpoints_.activate(message.destination, events_);
   post_event(vetchhinge::Message{id, *cls, destination, message.deadline.steady, {}, {}, {}});
 }
 
@@ -189,8 +189,8 @@
   if (attempt) attempt->reported = true;
   counters_.count_outcome(result.result);
   MessageTrace::event(open.payload->id, "outcome", "attempt", item.attempt, "result", name_of(result.result),
-                      "over", result.over, "elapsed_ms", whole_ms(result.elapsed).count(), "wait_ms",
-                      whole_ms(result.wait).count());
+                      "over", result.terminal, "elapsed_ms", whole_ms(result.elapsed).count(), "wait_ms",
+                      whole_ms(result.wait_hint).count());
   if (result.result == Result::delivered && !open.completed) ++counters_.delivered;
   if (result.result == Result::delivered && open.completed) record_late_delivery(open);
   if (successor_) {
@@ -202,19 +202,19 @@
   outcome.id = item.message;
   outcome.attempt = item.attempt;
   outcome.result = result.result;
-  outcome.terminal = result.over || open.completed;
-  outcome.wait = result.wait;
+  outcome.terminal = result.terminal || open.completed;
+  outcome.wait = result.wait_hint;
   outcome.elapsed = result.elapsed;
-  outcome.report = result.report;
+  outcome.report = result.limit_report;
   outcome.connection = result.connection;
   post_event(outcome);
   // The server's backoff applies from the arrival of the answer, not from the next step: calls that still
   // connect must not be sent.
-  if (result.wait > 0us) endpoints_.withhold_told(host);
+  if (result.wait_hint > 0us) endpoints_.cancel_unsent_in_limit_group(host);
   if (!open.completed) {
-    if (!result.over)
+    if (!result.terminal)
       open.ended_attempts.push_back({item.attempt, endpoints_.name(host), name_of(result.result)});
-    if (result.over) {
+    if (result.terminal) {
       const bool delivered = result.result == Result::delivered;
       journal_.complete(open.payload->id,
                         completion_record(open, delivered ? CompletedMessage::Reply::accepted
@@ -229,16 +229,16 @@
     } else {
       open.may_have_run = true;
     }
-    if (copies_ && result.over) copies_->copies().complete(CopyNet::now(), open.payload->id);
-    if (copies_ && !result.over) {
+    if (copies_ && result.terminal) copies_->copies().complete(CopyNet::now(), open.payload->id);
+    if (copies_ && !result.terminal) {
       using valedrum::copies::AttemptState;
       copies_->copies().set_attempt_state(
           CopyNet::now(), open.payload->id, item.attempt,
           never_ran(result.result) ? AttemptState::never_ran : AttemptState::may_have_run);
     }
-    if (!result.over && !may_be_called_again(open)) completion_due_ = true;
+    if (!result.terminal && !may_be_called_again(open)) completion_due_ = true;
   }
-  if (result.over || open.completed) close_message(item.message);
+  if (result.terminal || open.completed) close_message(item.message);
 }
 
 bool Relay::is_at_most_once(const std::string& cls) const {
@@ -263,17 +263,17 @@
   if (first) ++counters_.list_updates;
   bool more = false;
   if (list.full()) {
-    endpoints_.take_whole(list.version(), list.take_entries(), vetchhinge::HostList::Kind::whole, events_);
+    endpoints_.replace_list(list.version(), list.take_entries(), vetchhinge::HostList::Kind::whole, events_);
     compact_list();
   } else {
-    more = endpoints_.take_changes(list.version(), list.entries(), first, events_);
+    more = endpoints_.apply_changes(list.version(), list.entries(), first, events_);
   }
   schedule_step();
   return more;
 }
 
 void Relay::compact_list() {
-  run_in_slices(executor_, [this] { return endpoints_.tidy(); });
+  run_in_slices(executor_, [this] { return endpoints_.run_cleanup_slice(); });
 }
 
 // With a list on request the module decides when to resubscribe. A pushed list also arrives through a watch,
@@ -411,7 +411,7 @@
           } else if constexpr (std::is_same_v<A, vetchhinge::CloseIdleConnections>) {
             host_client_.close_idle(a.host);
           } else if constexpr (std::is_same_v<A, vetchhinge::EvictDestination>) {
-            endpoints_.put_away(static_cast<std::uint64_t>(a.destination));
+            endpoints_.evict(static_cast<std::uint64_t>(a.destination));
           }
         },
         action);
@@ -443,7 +443,7 @@
   call_in_flight.messages.push_back(send.id);
   call.items.push_back({send.id, open.attempts++, open.payload, decided + send.timeout,
                         send.max_connection_idle, send.verify_connection, send.write_deadline});
-  endpoints_.call_begins(send.host);
+  endpoints_.on_call_started(send.host);
   if (records_at_decision()) record_attempt(open, open.in_flight.back());
   if (copies_) replicate_attempt(open, endpoints_.name(send.host), host.zone);
 }
@@ -481,8 +481,10 @@
   if (counters_ == logged_counters_) return;
   logged_counters_ = counters_;
   std::cerr << "myrtlegrade: " << counters_ << " held=" << open_count_
-            << " calls_out=" << host_client_.calls_out() << " connections=" << host_client_.connections()
-            << " opened=" << host_client_.opened() << " clients=" << server_.connections() << std::endl;
+            << " calls_out=" << host_client_.calls_in_flight()
+            << " connections=" << host_client_.connection_count()
+            << " opened=" << host_client_.connections_opened() << " clients=" << server_.connections()
+            << std::endl;
   const std::string absorbed = to_text(absorbed_failures());
   if (!absorbed.empty()) std::cerr << "myrtlegrade: absorbed: " << absorbed << std::endl;
 }
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -46,10 +46,10 @@
   int listening_descriptor() { return server_.listening_descriptor(); }
 
   // True once the journal has been read and hosts are known.
-  bool ready() const { return endpoints_.known(); }
+  bool ready() const { return endpoints_.has_seen_endpoints(); }
 
   // Uses the platform's service at another address from now on. Open messages and calls are not affected.
-  void move_discovery(const Endpoint& address) { discovery_.move(address, endpoints_.version()); }
+  void move_discovery(const Endpoint& address) { discovery_.set_address(address, endpoints_.version()); }
 
   // Keeps working for a short time on what can still be finished, then closes the calls in flight. Calls
   // `done` when the process may exit; messages and notices that are still pending then stay in the journal.
--- a/relay/relay_admin.cpp
+++ b/relay/relay_admin.cpp
@@ -32,7 +32,7 @@
     journal_.enable_host(host);
     return "NAK the disk is full";
   }
-  endpoints_.withhold(endpoints_.number(host));
+  endpoints_.cancel_unsent(endpoints_.host_id(host));
   apply_operator_override(host, true);
   return "ACK";
 }
@@ -47,13 +47,13 @@
     return "NAK the disk is full";
   }
   apply_operator_override(host, false);
-  endpoints_.forget_name(host);
+  endpoints_.release_name(host);
   return "ACK";
 }
 
 void Relay::apply_operator_override(const std::string& host, bool disabled) {
   std::cerr << "myrtlegrade: " << host << (disabled ? " is out by hand" : " is back by hand") << std::endl;
-  const HostId id = endpoints_.number(host);
+  const HostId id = endpoints_.host_id(host);
   if (disabled) host_client_.close_idle(id);
   post_event(vetchhinge::OperatorHostOverride{id, disabled});
 }
--- a/relay/relay_calls.cpp
+++ b/relay/relay_calls.cpp
@@ -34,7 +34,7 @@
     OpenMessage& open = open_.at(id);
     const std::size_t ended = std::erase_if(
         open.in_flight, [number](const AttemptInFlight& attempt) { return attempt.call == number; });
-    for (std::size_t n = 0; n < ended; ++n) endpoints_.call_over(call.mapped().host);
+    for (std::size_t n = 0; n < ended; ++n) endpoints_.on_call_ended(call.mapped().host);
     if (open.completed) close_message(id);
   }
   if (!successor_) return;
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -111,7 +111,7 @@
 
 void Relay::call_when_recorded(Calls calls) {
   for (DecidedCall& decided : calls) {
-    const std::uint64_t withheld = endpoints_.at(decided.host).withheld;
+    const std::uint64_t withheld = endpoints_.at(decided.host).unsent_cancellations;
     PendingCall call{std::move(decided), withheld};
     if (!syncer_) {
       await_replication(std::move(call));
@@ -143,7 +143,7 @@
 void Relay::release_call(PendingCall call, bool succeeded) {
   const Endpoints::Host& host = endpoints_.at(call.host);
   const bool waited = copies_ || syncer_;
-  if (waited && (closing_ || host.withheld != call.withhold_count)) succeeded = false;
+  if (waited && (closing_ || host.unsent_cancellations != call.withhold_count)) succeeded = false;
   std::vector<CallItem> to_send;
   for (CallItem& item : call.items) {
     if (succeeded && !(waited && open_.at(item.message).completed)) {
@@ -167,7 +167,7 @@
     copies_->copies().set_pending_notice(CopyNet::now(), notice.message,
                                          {notice.handed_back, notice.retry_in});
   if (!waits) {
-    discovery_.send(std::move(notice));
+    discovery_.send_notice(std::move(notice));
   } else {
     when_durable(
         [this, notice = std::move(notice)](bool synced) { send_notice_when_replicated(notice, synced); });
@@ -177,7 +177,7 @@
 
 void Relay::send_notice_when_replicated(Notice notice, bool durable) {
   notice.handed_back = notice.handed_back && durable;
-  if (!copies_ || !durable) return discovery_.send(std::move(notice));
+  if (!copies_ || !durable) return discovery_.send_notice(std::move(notice));
   const auto ticket =
       copies_->copies().wait_for(CopyNet::now(), {notice.message}, copies::Copies::Requirement::notice);
   pending_notices_.emplace(ticket, std::move(notice));
@@ -221,7 +221,7 @@
     // No other member could be informed. One of them may still send the message, so it is reported as failed
     // and not as handed back to its client.
     notice.handed_back = notice.handed_back && completed.succeeded;
-    discovery_.send(std::move(notice));
+    discovery_.send_notice(std::move(notice));
   }
 }
 
@@ -307,7 +307,7 @@
     notice.due_by = from_copies(item->deadline).steady + budgets::kNoticeDeadline;
   journal_.complete_with_notice(notice);
   journal_.flush();
-  discovery_.send(std::move(notice));
+  discovery_.send_notice(std::move(notice));
 }
 
 // Cancels calls and acceptances that still wait for replication. Runs before a handover, since the successor
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -36,12 +36,12 @@
   cancel_pending();
   // Of bans, told waits and changes of the list this process hears nothing any more: what has not left may
   // not leave, and is the new process's to decide.
-  host_client_.withhold_all();
+  host_client_.cancel_all_unsent();
   report_completions(journal_.flush());
   journal_.retire();
   discovery_.stop();
   host_client_.close_all_idle();
-  host_client_.limit(0, config_.descriptor_limit);
+  host_client_.set_connection_limits(0, config_.descriptor_limit);
   HandoverState state;
   state.list.version = endpoints_.version();
   state.learned = sender_.snapshot(now());
@@ -77,15 +77,15 @@
 
 // False: some of what became of them is not told yet.
 bool Relay::cut_calls() {
-  host_client_.cut_all();
+  host_client_.abort_all();
   if (!successor_) flush_journal();  // what never left may be tried by a restart
   return !successor_ || (successor_->all_reported() && owners_.written());
 }
 
 void Relay::on_successor_lost() {
-  std::cerr << "myrtlegrade: the new process is gone, calls_out=" << host_client_.calls_out() << " end now"
-            << std::endl;
-  host_client_.cut_all();
+  std::cerr << "myrtlegrade: the new process is gone, calls_out=" << host_client_.calls_in_flight()
+            << " end now" << std::endl;
+  host_client_.abort_all();
   owners_.release();
 }
 
@@ -105,7 +105,7 @@
   }
   report_completions(flush_journal());
   const bool idle = !successor_ && passed >= kClientsCome && open_count_ == 0 && server_.connections() == 0 &&
-                    host_client_.calls_out() == 0 && !discovery_.notices_pending();
+                    host_client_.calls_in_flight() == 0 && !discovery_.notices_pending();
   const bool quiet = closing_ && calls_in_flight_.empty() && server_.connections() == 0 &&
                      (!successor_ || (successor_->all_reported() && owners_.written()));
   const bool leaves = passed >= (successor_ ? kGoneAfter : kLeaveAfter);
@@ -116,7 +116,7 @@
     on_drained_();
     return;
   }
-  if (successor_ && host_client_.calls_out() == 0) owners_.release();  // nothing leaves any more
+  if (successor_ && host_client_.calls_in_flight() == 0) owners_.release();  // nothing leaves any more
   drain_timer_.expires_after(kDrainLook);
   drain_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) continue_drain();
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -19,14 +19,15 @@
 
 void Relay::start() {
   auto inherited = std::exchange(inheritance_, std::nullopt);
-  WholeList& list = inherited ? inherited->list : *config_.known_hosts;
-  endpoints_.take_whole(list.version, std::move(list.entries), vetchhinge::HostList::Kind::cached, events_);
+  HostListSnapshot& list = inherited ? inherited->list : *config_.known_hosts;
+  endpoints_.replace_list(list.version, std::move(list.entries), vetchhinge::HostList::Kind::cached, events_);
   if (inherited) release_in_slices(executor_, std::move(config_.known_hosts->entries));
   config_.known_hosts.reset();
   if (inherited) {
     for (const vetchhinge::LimitGroupSnapshot& lane : inherited->learned.limit_groups)
-      endpoints_.wake(lane.host, events_);
-    for (const vetchhinge::HostSnapshot& host : inherited->learned.hosts) endpoints_.wake(host.host, events_);
+      endpoints_.activate(lane.host, events_);
+    for (const vetchhinge::HostSnapshot& host : inherited->learned.hosts)
+      endpoints_.activate(host.host, events_);
     // The module gets to know a host when it hears that it runs: also one that drains by now, for what was
     // learned there, as a told wait, binds towards all of its destination.
     for (std::size_t n = events_.size(); n > 0; --n) {
@@ -41,7 +42,7 @@
     // Whether others know that it goes back to its client is not known: its failure does no harm to what they
     // do.
     notice.handed_back = notice.handed_back && !copies_;
-    discovery_.send(notice);
+    discovery_.send_notice(notice);
   }
   std::unordered_map<std::string, const HandedOverAttempt*> out;
   knows_predecessor_calls_ = inherited.has_value();
@@ -71,7 +72,7 @@
   owners_.start();
   if (copies_) copies_->start();
   server_.start();
-  discovery_.stand_ready_for_notices();
+  discovery_.keep_notices_connected();
   if (!config_.settings.list_on_request) discovery_.watch(endpoints_.version());
   schedule_counter_log();
 }
@@ -83,7 +84,7 @@
   if (!cls) {  // the class is gone from the settings: nobody can say what a repeat would do
     const Notice notice{stored.id, false, {}};
     journal_.complete_with_notice(notice);
-    discovery_.send(notice);
+    discovery_.send_notice(notice);
     return;
   }
   const Timestamp present = read_clocks();
@@ -123,7 +124,7 @@
                       "attempts", stored.attempts.size(), "may_have_run",
                       std::ranges::count(stored.attempts, true, &StoredAttempt::may_have_run), "time_left_ms",
                       whole_ms(until(stored.deadline, present)).count());
-  endpoints_.wake(stored.destination, events_);
+  endpoints_.activate(stored.destination, events_);
   if (out) {
     vetchhinge::PastAttempt& at = message.past_attempts[out->attempt];
     at = restore_attempt_in_flight(open_.at(id), *out, at.sent);
@@ -144,7 +145,7 @@
   open.completed = true;
   open.content_known = false;
   ids_.emplace(out.message, id);
-  endpoints_.wake(out.destination, events_);
+  endpoints_.activate(out.destination, events_);
   vetchhinge::Message message{id, *cls, vetchhinge::DestinationId(out.destination), now(), {}, {}, {}};
   message.past_attempts.resize(out.attempt);  // that never ran, for all that it matters now
   message.past_attempts.push_back(
@@ -154,7 +155,7 @@
 
 vetchhinge::PastAttempt Relay::restore_attempt_in_flight(OpenMessage& open, const HandedOverAttempt& out,
                                                          vetchhinge::Time sent) {
-  const HostId id = endpoints_.call_elsewhere(out.host, out.destination, out.zone);
+  const HostId id = endpoints_.add_predecessor_call(out.host, out.destination, out.zone);
   AttemptInFlight& elsewhere =
       open.in_flight.emplace_back(AttemptInFlight{out.attempt, id, out.call, Timestamp{out.sent_at}});
   elsewhere.at_predecessor = elsewhere.recorded = true;
@@ -177,7 +178,7 @@
   if (found == ids_.end()) return on_unconfirmed_outcome(id, attempt, result);
   AttemptInFlight* const out = find_attempt(open_.at(found->second), attempt);
   if (!out || !out->at_predecessor || out->reported) return;
-  const bool final = result.over || result.result == Result::delivered;
+  const bool final = result.terminal || result.result == Result::delivered;
   if (!final && !successor_) {
     out->deferred_outcome = result;
     return;
--- a/relay/relay_waiting.cpp
+++ b/relay/relay_waiting.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-bool is_final(const CallResult& result) { return result.over || result.result == Result::delivered; }
+bool is_final(const CallResult& result) { return result.terminal || result.result == Result::delivered; }
 
 }  // namespace
 
--- a/tests/call_ends_test.cpp
+++ b/tests/call_ends_test.cpp
@@ -274,7 +274,7 @@
     EXPECT_EQ(records.size() == 2, size == whole.size());
   }
   EXPECT_EQ(records[0].message + '#' + std::to_string(records[0].attempt), "m#2");
-  EXPECT_EQ(records[0].result.wait, 30ms);
+  EXPECT_EQ(records[0].result.wait_hint, 30ms);
   EXPECT_EQ(records[1].call, 7U);
   EXPECT_EQ(records[1].end, CallEnd::answered);
 }
--- a/tests/discovery_series_test.cpp
+++ b/tests/discovery_series_test.cpp
@@ -6,14 +6,14 @@
 
 #include "discovery_script.h"
 #include "vetchhinge/policy.h"
-#include "watch_clock.h"
+#include "watch_deadline.h"
 #include "watch_reader.h"
 
 namespace myrtlegrade::test {
 namespace {
 
 using namespace std::chrono_literals;
-using Time = WatchClock::Time;
+using Time = WatchDeadline::Time;
 using valedrum::catalog::ListReader;
 using vetchhinge::HostList;
 
@@ -76,7 +76,7 @@
     s.classes = {{.aim = 1s, .deadline = 8s}};
     s.kinds = {{}};
     module_.emplace(s);
-    versions_.hold(41);
+    versions_.set_held(41);
     Time at{};
     if (on_request_) {
       step(at, {HostList{HostList::Kind::cached, {{vetchhinge::HostId(1), vetchhinge::DestinationId(1)}}}});
@@ -85,7 +85,7 @@
     while (at < Time(kLasts)) {
       calls_.push_back(at);
       Time lost = call(at);
-      for (; versions_.reopen(); lost = call(lost)) calls_.push_back(lost);
+      for (; versions_.needs_full_list(); lost = call(lost)) calls_.push_back(lost);
       at = lost + kWatchAgain;
       if (!on_request_) continue;
       fire_until(lost);
@@ -125,13 +125,13 @@
 
   // Until the watch is given up.
   Time call(Time called) {
-    WatchClock clock(called);
+    WatchDeadline clock(called);
     ListReader reader;
     const Phase& phase = plan_.phase(called);
-    const Script script = answer(called, versions_.open(), phase);
+    const Script script = answer(called, versions_.begin_watch(), phase);
     Time at = called, deadline = clock.deadline();
     const auto lost = [&](Time when) {
-      heard_ = std::min(clock.heard(), versions_.behind().value_or(Time::max()));
+      heard_ = std::min(clock.last_complete_at(), versions_.behind_since().value_or(Time::max()));
       return when;
     };
     for (const Piece& piece : script) {
@@ -147,7 +147,7 @@
         take(at, reader);
         reader.reset();
       }
-      if (piece.what == Piece::What::body) clock.came(at, piece.bytes.size(), ended);
+      if (piece.what == Piece::What::body) clock.on_bytes(at, piece.bytes.size(), ended);
       deadline = std::min(clock.deadline(), versions_.deadline());
     }
     return lost(std::max(at, deadline));
@@ -156,8 +156,8 @@
   void take(Time at, const ListReader& list) {
     const auto change = newest(list.entries());
     const bool went_back = !taken_.empty() && change && *change < taken_.back().second;
-    const auto behind = versions_.behind();
-    if (!versions_.take(at, list.version())) return;
+    const auto behind = versions_.behind_since();
+    if (!versions_.accept(at, list.version())) return;
     EXPECT_TRUE(!went_back || behind) << "an old list came into force";
     if (change) taken_.emplace_back(at, *change);
     if (on_request_) step(at, {HostList{HostList::Kind::whole, {}}});
@@ -252,7 +252,7 @@
   bool on_request_;
   std::optional<vetchhinge::Sender> module_;
   std::optional<Time> timer_, asked_;
-  ListVersions versions_;
+  ListVersionFilter versions_;
   Time heard_{};
   std::vector<Time> calls_;
   std::vector<End> ends_;  // of watches that were opened where discovery could be reached
--- a/tests/host_client_test.cpp
+++ b/tests/host_client_test.cpp
@@ -29,10 +29,10 @@
         client_(
             context_.get_executor(),
             {.connect_timeout = 20s,
-             .idle = 10s,
-             .most_idle = 8,
-             .most = 12,
-             .reports = true,
+             .server_idle_timeout = 10s,
+             .max_idle = 8,
+             .max_connections = 12,
+             .reads_limit_reports = true,
              .before_last_byte = [this](const std::vector<CallItem>&) { return may_leave_; }},
             [this](HostId, const CallItem& item, const CallResult& result) {
               results_.emplace_back(item.message, result);
@@ -47,7 +47,7 @@
   void TearDown() override {
     std::set<std::uint64_t> numbers;
     for (const auto& [number, end] : over_) EXPECT_TRUE(numbers.insert(number).second) << "over twice";
-    EXPECT_EQ(client_.calls_out() + over_.size(), calls_) << "each call is over once, or still out";
+    EXPECT_EQ(client_.calls_in_flight() + over_.size(), calls_) << "each call is over once, or still out";
   }
 
   // Runs the client until the condition holds; false after a time that only a fault can take.
@@ -119,16 +119,16 @@
   read_head(host);
   ::listen(acceptor_.native_handle(), 0);
   call({item(2)});
-  client_.withhold_all();
+  client_.cancel_all_unsent();
   ASSERT_EQ(results_.size(), 1U);
   EXPECT_EQ(results_[0].first, MessageId(2));
   EXPECT_EQ(results_[0].second.result, Result::not_sent);
   ASSERT_EQ(over_.size(), 1U);
   EXPECT_EQ(over_[0].second, CallEnd::withheld);
-  client_.cut_all();
+  client_.abort_all();
   ASSERT_EQ(results_.size(), 2U);
   EXPECT_EQ(results_[1].second.result, Result::cancelled);
-  EXPECT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  EXPECT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
 }
 
 // A wait or a drain that is told while a connection is still coming up must stop the call that waits for it.
@@ -143,17 +143,17 @@
   call({item(1)});
   for (int i = 0; i < 20; ++i) context_.poll_one();
   ASSERT_TRUE(results_.empty());
-  client_.withhold(HostId(1));
+  client_.cancel_unsent(HostId(1));
   ASSERT_TRUE(run_until([&] { return !results_.empty(); }));
   EXPECT_EQ(results_[0].second.result, Result::not_sent);
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
 }
 
 TEST_F(HostClientTest, ACallThatIsOutIsNotWithheld) {
   call({item(1)});
   tcp::socket host = accept();
   read_head(host);
-  client_.withhold(HostId(1));
+  client_.cancel_unsent(HostId(1));
   say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return !results_.empty(); }));
   EXPECT_EQ(results_[0].second.result, Result::delivered);
@@ -188,19 +188,19 @@
   tcp::socket host = accept();
   read_head(host);
   say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_TRUE(results_.at(0).second.connection.established);
   EXPECT_EQ(results_[0].second.connection.idle, 0us) << "a new one";
   call({item(2)});
   read_head(host);
   host.set_option(boost::asio::socket_base::linger(true, 0));
   host.close();
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_EQ(results_.at(1).second.result, Result::reset);
   EXPECT_GT(results_[1].second.connection.idle, 0us) << "the kept one";
   acceptor_.close();
   call({item(3)});
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_EQ(results_.at(2).second.result, Result::connect_failed);
   EXPECT_FALSE(results_[2].second.connection.established);
 }
@@ -212,14 +212,14 @@
   tcp::socket kept = accept();
   read_head(kept);
   say(kept, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   CallItem careful = item(2);
   careful.max_connection_idle = 0us;
   call({careful, item(3)});  // the most careful one of a call decides
   tcp::socket fresh = accept();
   read_head(fresh);
   say(fresh, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   call({item(4)});
   read_head(kept);
 }
@@ -244,7 +244,7 @@
   ASSERT_TRUE(run_until([&] { return !results_.empty(); }));
   EXPECT_EQ(results_[0].second.result, Result::connect_failed);
   EXPECT_TRUE(results_[0].second.connection.established);
-  ASSERT_TRUE(run_until([&] { return patient.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return patient.calls_in_flight() == 0; }));
 }
 
 // What has got its final answer while its connection was proven stays without its last byte: it never runs.
@@ -284,7 +284,7 @@
   acceptor_.set_option(boost::asio::socket_base::receive_buffer_size(4096));
   call({item(1, 200ms, 60'000)});
   tcp::socket host = accept();
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_EQ(results_.at(0).second.result, Result::timed_out) << "its last byte went out";
   EXPECT_LT(read_rest(host), 60'000U) << "and never came";
 }
@@ -296,7 +296,7 @@
   repeat.write_deadline = steady_time() + 100ms;
   call({repeat});
   tcp::socket host = accept();
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_EQ(results_.at(0).second.result, Result::reset);
   EXPECT_LT(results_[0].second.elapsed, 10s);
   EXPECT_LT(read_rest(host), 60'000U);
@@ -312,7 +312,7 @@
   run_until([&] { return steady_time() > repeat.write_deadline + 100ms; });
   ASSERT_TRUE(results_.empty());
   say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_EQ(results_.at(0).second.result, Result::delivered);
 }
 
@@ -351,7 +351,7 @@
     EXPECT_EQ(socket.available(error), 0U) << "nothing was written";
   }
   acceptor_.close();
-  run_until([&] { return client_.calls_out() == 0; });
+  run_until([&] { return client_.calls_in_flight() == 0; });
 }
 
 TEST_F(HostClientTest, AConnectionThatStandsGetsTheWholeRequest) {
@@ -375,7 +375,7 @@
   read_head(host);
   say(host, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
   host.close();
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   ASSERT_EQ(results_.size(), 1U);
   EXPECT_EQ(results_[0].second.result, Result::delivered);
 }
@@ -409,7 +409,7 @@
                 "\r\n\r\n" + body);
   ASSERT_TRUE(run_until([&] { return results_.size() == 2; }));
   EXPECT_EQ(results_[1].second.result, Result::delivered);
-  EXPECT_EQ(results_[1].second.wait, 250ms) << "a wait in a bulk answer binds alike";
+  EXPECT_EQ(results_[1].second.wait_hint, 250ms) << "a wait in a bulk answer binds alike";
 }
 
 // A connection that the host closed while it lay idle must not carry the next call: that would be a reset.
@@ -419,13 +419,13 @@
     tcp::socket host = accept();
     read_head(host);
     say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+    ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   }
   call({item(2)});
   tcp::socket host = accept();
   read_head(host);
   say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_EQ(results_.back().second.result, Result::delivered);
 }
 
@@ -455,7 +455,7 @@
     tcp::socket host = accept();  // a new one each time, and left open by the host
     read_head(host);
     say(host, text);
-    ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; })) << text;
+    ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; })) << text;
     ASSERT_EQ(results_.size(), 1U) << text;
     EXPECT_EQ(results_[0].second.result, expected) << text;
   }
@@ -470,7 +470,7 @@
     tcp::socket host = accept();
     read_head(host);
     say(host, text);
-    ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0 && results_.size() == 2; })) << text;
+    ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0 && results_.size() == 2; })) << text;
     for (const auto& [id, result] : results_) EXPECT_EQ(result.result, Result::reset) << text;
   }
 }
@@ -481,7 +481,7 @@
   read_head(host);
   say(host, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 503 Full\r\n" +
                 std::string("Content-Length: 0\r\n\r\n"));
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   ASSERT_EQ(results_.size(), 1U);
   EXPECT_EQ(results_[0].second.result, Result::full);
 }
@@ -494,7 +494,7 @@
     tcp::socket host = accept();
     read_head(host);
     say(host, together ? kGood + kGood : kGood);
-    ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+    ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
     if (!together) say(host, kGood);
     call({item(2)});
     tcp::socket next = accept();
@@ -510,7 +510,7 @@
 TEST_F(HostClientTest, CallsAreBoundedByDescriptors) {
   for (std::uint32_t id = 1; id <= 15; ++id) call({item(id)});
   ASSERT_TRUE(run_until([&] { return results_.size() == 3; }));
-  EXPECT_EQ(client_.calls_out(), 12U);
+  EXPECT_EQ(client_.calls_in_flight(), 12U);
   for (const auto& [id, result] : results_) EXPECT_EQ(result.result, Result::not_sent);
 }
 
@@ -521,9 +521,9 @@
   tcp::socket host = accept();
   read_head(host);
   say(host, kGood);
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   call({item(2, 1ms)});
-  ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+  ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   ASSERT_EQ(results_.size(), 2U);
   EXPECT_EQ(results_[1].second.result, Result::connect_failed) << "it never went out";
 }
@@ -540,12 +540,12 @@
     tcp::socket host = accept();
     read_head(host);
     say(host, "HTTP/1.1 200 OK\r\nX-Server-Load: " + load + "\r\nContent-Length: 0\r\n\r\n");
-    ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+    ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
     EXPECT_EQ(results_[0].second.result, Result::delivered) << load;
-    ASSERT_EQ(results_[0].second.report.has_value(), readable) << load;
+    ASSERT_EQ(results_[0].second.limit_report.has_value(), readable) << load;
     if (readable) {
-      EXPECT_EQ(results_[0].second.report->share_left, 0.4);
-      EXPECT_EQ(results_[0].second.report->calls_per_second, 25);
+      EXPECT_EQ(results_[0].second.limit_report->share_left, 0.4);
+      EXPECT_EQ(results_[0].second.limit_report->calls_per_second, 25);
     }
   }
 }
@@ -556,7 +556,7 @@
   for (std::uint32_t id = 2; id < 5; ++id) {
     read_head(host);
     say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    ASSERT_TRUE(run_until([&] { return client_.calls_out() == 0; }));
+    ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
     call({item(id)});
   }
   read_head(host);
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -63,16 +63,16 @@
     EXPECT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete) << reader_.error();
     events_.clear();
     if (full) {
-      endpoints_.take_whole(version, reader_.take_entries(), HostList::Kind::whole, events_);
+      endpoints_.replace_list(version, reader_.take_entries(), HostList::Kind::whole, events_);
     } else {
-      EXPECT_FALSE(endpoints_.take_changes(version, reader_.entries(), true, events_));
+      EXPECT_FALSE(endpoints_.apply_changes(version, reader_.entries(), true, events_));
     }
     reader_.reset();
     return std::get<HostList>(events_.at(0));
   }
-  HostList wake(std::uint64_t cell) {
+  HostList activate(std::uint64_t cell) {
     events_.clear();
-    endpoints_.wake(cell, events_);
+    endpoints_.activate(cell, events_);
     return events_.empty() ? HostList{} : std::get<HostList>(events_.at(0));
   }
   std::vector<std::string> names(const HostList& list) const {
@@ -106,19 +106,19 @@
   EXPECT_EQ(whole.entries[2].host, HostId{2});
   EXPECT_EQ(whole.entries[0].rate, 2.5);
   EXPECT_EQ(names(take({{"n", 9}, {"b", 2, "DRAINING"}}, false)), (Names{"n", "b"}));
-  EXPECT_TRUE(wake(9).entries.empty());
+  EXPECT_TRUE(activate(9).entries.empty());
 }
 
 TEST_F(EndpointsTest, BeyondItOnlyWhatAMessageComesForIsAwake) {
   EXPECT_TRUE(take(make_entries(100), true).entries.empty());
-  EXPECT_TRUE(endpoints_.known());
+  EXPECT_TRUE(endpoints_.has_seen_endpoints());
   EXPECT_TRUE(endpoints_.is_destination(50));
   EXPECT_FALSE(endpoints_.is_destination(100));
-  const HostList woken = wake(50);
+  const HostList woken = activate(50);
   EXPECT_EQ(woken.kind, HostList::Kind::changes);
   EXPECT_EQ(names(woken), Names{"e50"});
   EXPECT_EQ(endpoints_.at(woken.entries[0].host).zone, "z-e50");
-  EXPECT_TRUE(wake(50).entries.empty());
+  EXPECT_TRUE(activate(50).entries.empty());
   EXPECT_EQ(names(take({{"e50", 50, "DRAINING"}, {"e51", 51, "DRAINING"}}, false)), Names{"e50"});
   // Inactive entries are kept complete too.
   const catalog::Entry inactive = endpoints_.list().at(endpoints_.list().find("e51").value());
@@ -126,25 +126,25 @@
   EXPECT_EQ(inactive.zone, "z-e51");
   EXPECT_EQ(inactive.weight, 2.5);
   EXPECT_EQ(inactive.started_ms, 1'700'000'000'000);
-  EXPECT_EQ(wake(51).entries.at(0).state, HostState::draining);
+  EXPECT_EQ(activate(51).entries.at(0).state, HostState::draining);
   EXPECT_EQ(names(take(make_entries(100), true)), (Names{"e50", "e51"}));
 }
 
 TEST_F(EndpointsTest, PutAwayAndNeededAgainItIsToldAnew) {
   take(make_entries(100), true);
-  const HostId first = wake(7).entries.at(0).host;
-  endpoints_.put_away(7);
+  const HostId first = activate(7).entries.at(0).host;
+  endpoints_.evict(7);
   EXPECT_FALSE(dialect_.hosts.find("e7"));
-  const HostList again = wake(7);
+  const HostList again = activate(7);
   EXPECT_EQ(names(again), Names{"e7"});
   EXPECT_NE(again.entries[0].host, first);
   // While a call is in flight, the endpoint keeps its record and its host number.
-  endpoints_.call_begins(again.entries[0].host);
-  endpoints_.put_away(7);
-  EXPECT_EQ(endpoints_.at(again.entries[0].host).out, 1U);
-  EXPECT_EQ(wake(7).entries.at(0).host, again.entries[0].host);
-  endpoints_.call_over(again.entries[0].host);
-  EXPECT_EQ(endpoints_.at(again.entries[0].host).out, 0U);
+  endpoints_.on_call_started(again.entries[0].host);
+  endpoints_.evict(7);
+  EXPECT_EQ(endpoints_.at(again.entries[0].host).attempts_in_flight, 1U);
+  EXPECT_EQ(activate(7).entries.at(0).host, again.entries[0].host);
+  endpoints_.on_call_ended(again.entries[0].host);
+  EXPECT_EQ(endpoints_.at(again.entries[0].host).attempts_in_flight, 0U);
 }
 
 TEST_F(EndpointsTest, OneThatRestsIsBannedByNameAndStaysOutWhenWoken) {
@@ -152,20 +152,20 @@
   EXPECT_TRUE(endpoints_.is_known("e8"));
   EXPECT_FALSE(endpoints_.is_known("e100"));
   journal_.disable_host("e8");
-  const HostId banned = endpoints_.number("e8");
-  endpoints_.withhold(banned);
-  EXPECT_EQ(wake(8).entries.at(0).host, banned);
-  endpoints_.put_away(8);
-  EXPECT_EQ(wake(8).entries.at(0).host, banned);
-  endpoints_.put_away(8);
+  const HostId banned = endpoints_.host_id("e8");
+  endpoints_.cancel_unsent(banned);
+  EXPECT_EQ(activate(8).entries.at(0).host, banned);
+  endpoints_.evict(8);
+  EXPECT_EQ(activate(8).entries.at(0).host, banned);
+  endpoints_.evict(8);
   journal_.enable_host("e8");
-  endpoints_.forget_name("e8");
+  endpoints_.release_name("e8");
   EXPECT_FALSE(dialect_.hosts.find("e8"));
 }
 
 TEST_F(EndpointsTest, AnIdThatMovesToAnotherDestinationIsAnotherHost) {
   const HostId first = take({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
-  endpoints_.call_begins(first);
+  endpoints_.on_call_started(first);
   journal_.disable_host("a");
   const HostList moved = take({{"a", 2}}, false);
   ASSERT_EQ(moved.entries.size(), 2U);
@@ -173,11 +173,11 @@
   EXPECT_EQ(moved.entries[0].state, HostState::gone);
   EXPECT_NE(moved.entries[1].host, first);
   EXPECT_EQ(moved.entries[1].destination, vetchhinge::DestinationId{2});
-  EXPECT_EQ(endpoints_.at(first).withheld, 1U);
+  EXPECT_EQ(endpoints_.at(first).unsent_cancellations, 1U);
   ASSERT_EQ(events_.size(), 2U);
   EXPECT_EQ(std::get<vetchhinge::OperatorHostOverride>(events_[1]).host, moved.entries[1].host);
   EXPECT_EQ(endpoints_.name(first), "a");  // as long as its call is in flight
-  endpoints_.call_over(first);
+  endpoints_.on_call_ended(first);
   EXPECT_EQ(dialect_.hosts.find("a"), static_cast<std::uint32_t>(moved.entries[1].host));
   // The same with a full list.
   const HostList whole = take({{"a", 3}, {"b", 2}}, true);
@@ -187,25 +187,25 @@
 
 TEST_F(EndpointsTest, ADestinationThatGoesWithACallOutComesBackUnderAnotherAddress) {
   const HostId host = take({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
-  endpoints_.call_begins(host);
+  endpoints_.on_call_started(host);
   EXPECT_EQ(take({{"a", 0, "DELETED"}}, false).entries.at(0).state, HostState::gone);
-  EXPECT_EQ(endpoints_.at(host).withheld, 1U);
+  EXPECT_EQ(endpoints_.at(host).unsent_cancellations, 1U);
   EXPECT_TRUE(endpoints_.is_destination(1));
   EXPECT_EQ(take({{"a", 1, "SERVING", 9090}}, false).entries.at(0).host, host);
   EXPECT_EQ(endpoints_.at(host).address.port(), 9090);
-  endpoints_.call_over(host);
+  endpoints_.on_call_ended(host);
   EXPECT_TRUE(endpoints_.at(host).listed);
 }
 
 TEST_F(EndpointsTest, AListWithoutHalfOfWhatWasThere) {
   take(make_entries(100), true);
-  wake(10);
-  wake(60);
+  activate(10);
+  activate(60);
   const HostList half = take(make_entries(50), true);
   EXPECT_EQ(names(half), Names{"e10"});
   EXPECT_FALSE(dialect_.hosts.find("e60"));
   EXPECT_TRUE(endpoints_.is_destination(75));
-  while (endpoints_.tidy()) {
+  while (endpoints_.run_cleanup_slice()) {
   }
   EXPECT_TRUE(endpoints_.is_destination(75));
   EXPECT_FALSE(endpoints_.is_destination(100));
@@ -228,7 +228,7 @@
   std::string_view rest = text;
   ASSERT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete);
   int parts = 1;
-  for (bool first = true; endpoints_.take_changes(9, reader_.entries(), first, events_); first = false) {
+  for (bool first = true; endpoints_.apply_changes(9, reader_.entries(), first, events_); first = false) {
     EXPECT_EQ(endpoints_.version(), 4);
     ++parts;
   }
@@ -251,9 +251,9 @@
     entry.id = deleted_id;
     entry.state = catalog::EndpointState::deleted;
     change.put(entry);
-    endpoints_.take_changes(1, change, true, events_);
-    wake(i);
-    endpoints_.put_away(i);
+    endpoints_.apply_changes(1, change, true, events_);
+    activate(i);
+    endpoints_.evict(i);
     events_.clear();
     if (i == 10'000) before = endpoints_.list().bytes();
   }
@@ -277,7 +277,7 @@
       to->feed(std::string_view(text).substr(cut));
       EXPECT_EQ(to->json_without_hosts(), rest);
     }
-    const WholeList list = read.take_known_hosts();
+    const HostListSnapshot list = read.take_known_hosts();
     EXPECT_EQ(list.version, 41);
     EXPECT_EQ(list.entries.size(), 3U);
     EXPECT_EQ(passed.take_known_hosts().entries.size(), 0U);
