--- a/relay/copies_file.cpp
+++ b/relay/copies_file.cpp
@@ -28,8 +28,7 @@
     : disk_(disk), member_(std::move(member)), max_bytes_(max_bytes), durability_(durability) {
   disk_.remove(std::string(kName) + ".new");
   stored_ = copies::read_stored(disk_.read(kName).value_or(""), wall_offset, boot);
-  if (stored_.newer_format)
-    throw std::runtime_error("PROXY_STATE: the file copies was written by a newer version of the program");
+  if (stored_.newer_format) throw std::runtime_error("PROXY_STATE: the copies are of a later program");
   const bool other_member = stored_.storage_id != 0 && stored_.member != member_;
   if (stored_.damaged || other_member) {
     std::cerr << "myrtlegrade: copies: the file is not used: "
--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -23,26 +23,27 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr auto kPollInterval = 20ms;  // between looks whether another process still is the relay
-constexpr auto kHelloTimeout = 1s;    // for the other process to begin; one that is stalled says nothing
+constexpr auto kPollInterval = 20ms;  // between checks whether another process is still active
+constexpr auto kHelloTimeout = 1s;    // for the first frames; a stalled process sends none
 constexpr auto kPrepareTimeout = 300ms;
-constexpr auto kLinkReconnectTimeout = 200ms;  // for one that stood by and lost its link: it comes again
-constexpr auto kHandoverTimeout = 700ms;       // of the signal to end; the drain alone needs the rest
-// For a process that has just died to let go of the clients' address, or for the system to have descriptors
-// again.
+constexpr auto kLinkReconnectTimeout = 200ms;  // for a standby that lost its link and reconnects
+constexpr auto kHandoverTimeout =
+    700ms;  // after the signal to end; a drain without handover needs the rest of the time
+// Time for a process that has just died to release the listening address, or for the system to have free
+// descriptors again.
 constexpr auto kAddressTimeout = 6s;
 constexpr auto kUsageInterval = 50ms;
 constexpr auto kListenRetryInterval = 100ms;
-constexpr auto kFreeSpaceInterval = 5s;  // a change of what this relay can hold for others
+constexpr auto kFreeSpaceInterval = 5s;  // between updates of the free space for copies
 
 }  // namespace
 
-Handover::Handover(asio::any_io_executor executor, Config config, std::function<void()> done,
-                   std::function<void()> read_again)
+Handover::Handover(asio::any_io_executor executor, Config config, std::function<void()> on_done,
+                   std::function<void()> reread_config)
     : executor_(executor),
       config_(std::move(config)),
-      on_done_(std::move(done)),
-      reread_config_(std::move(read_again)),
+      on_done_(std::move(on_done)),
+      reread_config_(std::move(reread_config)),
       lock_(config_.state_folder),
       poll_timer_(executor),
       successor_acceptor_(executor),
@@ -55,7 +56,7 @@
   std::cerr << "myrtlegrade: second address on " << admin_->address() << std::endl;
 }
 
-// The second address is told in the configuration, so that the relay can't do without it.
+// The configuration asks for the admin address, so a failure to bind it is fatal unless it is temporary.
 void Handover::open_admin() {
   while (!admin_) {
     try {
@@ -72,7 +73,7 @@
 
 void Handover::start() {
   if (admin_) admin_->start();
-  // At once where nobody else is there: the relay serves as soon as its process runs.
+  // Tried synchronously first: without another process, the relay serves as soon as its process runs.
   if (!try_become_active()) spawn(executor_, run_standby());
 }
 
@@ -86,8 +87,8 @@
   wait_for_link();
 }
 
-// Serves on meanwhile. A link breaks by one failing call, and an upgrade must not become_active a restart by
-// that.
+// Continues to serve while the standby reconnects: one failing system call is enough to break the link, and
+// must not turn an upgrade into a restart.
 void Handover::wait_for_link() {
   waiting_for_link_ = true;
   prepare_timer_.expires_at(
@@ -102,7 +103,7 @@
 
 void Handover::send_prepare() {
   waiting_for_link_ = false;
-  // One that is stalled must not be given what it can't carry on.
+  // Makes sure that the successor responds: a stalled process could not continue the work.
   successor_->send(RecordWriter(HandoverFrame::prepare));
   prepare_timer_.expires_after(kPrepareTimeout);
   prepare_timer_.async_wait([this](boost::system::error_code error) {
@@ -117,8 +118,8 @@
   successor_acceptor_.close(ignored);
 }
 
-// As long as it decides, it still gives over to a process that comes: a lost link, or an answer that takes
-// long, must not make a restart of an upgrade.
+// A process that still makes decisions can hand over even after its drain has begun: a lost link or a slow
+// answer must not turn an upgrade into a restart.
 bool Handover::can_hand_over() const { return relay_ && !handed_over_ && !relay_->closing(); }
 
 void Handover::drain_without_successor() {
@@ -137,12 +138,12 @@
   config_.read_at = config.read_at;
   send_config_reload();
   if (relay_ && !handed_over_) relay_->move_discovery(config.discovery);
-  if (!config_.fleet || !config.fleet) return;  // on or off, and where, is settled at the start
+  if (!config_.fleet || !config.fleet) return;  // the fleet can't be switched on or off at runtime
   config_.fleet->settings.seeds = config.fleet->settings.seeds;
   if (fleet_) fleet_->reseed(config.fleet->settings.seeds);
 }
 
-// The new process may have read the file before it was replaced, and not be told to read it again.
+// The successor may have read an older version of the file, and may not get a reload signal.
 void Handover::send_config_reload() {
   if (successor_) successor_->send(write_config_reload({config_.read_at, config_.discovery}));
 }
@@ -156,17 +157,17 @@
   if (relay_ && !handed_over_) relay_->move_discovery(config_.discovery);
 }
 
-// ------------------------------------------------------------------------------------- which one
+// ----------------------------------------------------------------------------- becoming active
 
-// False while another process is the relay, or the address is not free yet.
+// Returns false while another process is active, or the listening address is not free yet.
 bool Handover::try_become_active() {
   if (!lock_.try_acquire()) return false;
   if (!listener_) {
     try {
       listener_.emplace(executor_, config_.listen);
     } catch (const boost::system::system_error& e) {
-      const bool passes = e.code() == asio::error::address_in_use || is_temporary_error(e.code());
-      if (!passes || SteadyClock::now() - started_ > kAddressTimeout) throw;
+      const bool temporary = e.code() == asio::error::address_in_use || is_temporary_error(e.code());
+      if (!temporary || SteadyClock::now() - started_ > kAddressTimeout) throw;
       lock_.release();
       return false;
     }
@@ -179,15 +180,15 @@
   while (!relay_ && !ending_) {
     co_await stand_by();
     if (relay_ || ending_) co_return;
-    // The file may have been replaced since this process read it, and the other one alone was told.
+    // The file may have been replaced since this process read it, with a reload signal to the other one only.
     if (try_become_active()) co_return reread_config_();
     poll_timer_.expires_after(kPollInterval);
     co_await poll_timer_.async_wait(kAwait);
   }
 }
 
-void Handover::become_active(std::optional<std::string> inherited) {
-  relay_.emplace(executor_, config_, std::move(*listener_), std::move(inherited));
+void Handover::become_active(std::optional<std::string> handover_state) {
+  relay_.emplace(executor_, config_, std::move(*listener_), std::move(handover_state));
   listener_.reset();
   relay_->start();
   std::cerr << "myrtlegrade: listening on " << relay_->address() << std::endl;
@@ -195,14 +196,14 @@
   spawn(executor_, listen_for_successors());
 }
 
-// What fails here is no reason not to serve; without it no process could ever take over, so it is tried
-// again.
+// A failure does not prevent the relay from serving. It is retried, since no process could take over
+// otherwise.
 asio::awaitable<void> Handover::listen_for_successors() {
-  bool told = false;
+  bool logged = false;
   while (!ending_ && !successor_acceptor_.is_open()) {
     const boost::system::error_code error = open_successor_socket();
     if (!error) break;
-    if (!std::exchange(told, true))
+    if (!std::exchange(logged, true))
       std::cerr << "myrtlegrade: no successor can take over yet: " << error.message() << std::endl;
     listen_timer_.expires_after(kListenRetryInterval);
     co_await listen_timer_.async_wait(kAwait);
@@ -211,19 +212,19 @@
 }
 
 boost::system::error_code Handover::open_successor_socket() {
-  const auto place = HandoverLink::endpoint_in(config_.state_folder);
-  ::unlink(place.path().c_str());  // of a process that is no relay any more
+  const auto endpoint = HandoverLink::endpoint_in(config_.state_folder);
+  ::unlink(endpoint.path().c_str());  // left by a process that is no longer active
   boost::system::error_code error;
-  successor_acceptor_.open(place.protocol(), error);
-  if (!error) successor_acceptor_.bind(place, error);
+  successor_acceptor_.open(endpoint.protocol(), error);
+  if (!error) successor_acceptor_.bind(endpoint, error);
   if (!error) successor_acceptor_.listen(asio::socket_base::max_listen_connections, error);
-  if (!error) ::chmod(place.path().c_str(), 0600);
+  if (!error) ::chmod(endpoint.path().c_str(), 0600);
   boost::system::error_code ignored;
   if (error) successor_acceptor_.close(ignored);
   return error;
 }
 
-// What keeps it out of the fleet is no reason not to serve.
+// The relay serves even if it can't join the fleet.
 void Handover::join_fleet() {
   if (!config_.fleet) return;
   try {
@@ -237,28 +238,33 @@
   }
 }
 
-// Whom copies may go to is who says in the view that it takes them.
+// Copies may be placed at the members that publish in the fleet's view that they accept copies.
 void Handover::start_copies() {
   namespace copies = valedrum::copies;
   namespace membership = valedrum::membership;
   publish_free_space();
   fleet_->on_change([this, net = relay_->copies()](const membership::Membership& members) {
-    std::vector<copies::Candidate> all;
-    const auto takes = [](const membership::Record& r) { return r.published_version == copies::kFormat; };
-    for (const membership::Record& r : members.healthy_members(takes)) {
-      const auto said = copies::decode_published(r.published);
-      if (said)
-        all.push_back({{r.name, said->storage_id, said->address}, r.machine, r.zone, said->free_eighths});
+    std::vector<copies::Candidate> candidates;
+    const auto accepts_copies = [](const membership::Record& r) {
+      return r.published_version == copies::kFormat;
+    };
+    for (const membership::Record& r : members.healthy_members(accepts_copies)) {
+      const auto published = copies::decode_published(r.published);
+      if (published)
+        candidates.push_back({{r.name, published->storage_id, published->address},
+                              r.machine,
+                              r.zone,
+                              published->free_eighths});
     }
-    net->set_candidates(std::move(all));
+    net->set_candidates(std::move(candidates));
   });
 }
 
 void Handover::publish_free_space() {
   if (!fleet_ || handed_over_) return;
-  std::string said = encode(relay_->copies()->published());
-  if (said != published_record_)
-    fleet_->publish(valedrum::copies::kFormat, published_record_ = std::move(said));
+  std::string record = encode(relay_->copies()->published());
+  if (record != published_record_)
+    fleet_->publish(valedrum::copies::kFormat, published_record_ = std::move(record));
   free_space_timer_.expires_after(kFreeSpaceInterval);
   free_space_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) publish_free_space();
@@ -287,14 +293,15 @@
   if (!hello || ending_) co_return;
   RecordReader in(*hello);
   if (in.kind<HandoverFrame>() != HandoverFrame::hello || in.number() != kHandoverVersion) {
-    std::cerr << "myrtlegrade: the old process speaks another version: waiting for its end" << std::endl;
+    std::cerr << "myrtlegrade: the old process uses another handover version; waiting for it to end"
+              << std::endl;
     co_return;
   }
   link->send(RecordWriter(HandoverFrame::hello).number(kHandoverVersion));
   predecessor_ = link;
   standing_by_ = true;
   std::cerr << "myrtlegrade: standing by, listening on " << listener_->local_endpoint() << std::endl;
-  // Once this one is the relay, what the old process still has to tell of calls that are out.
+  // After the takeover, the predecessor still reports results of the calls that it has in flight.
   for (auto frame = co_await link->receive(); frame; frame = co_await link->receive()) {
     if (static_cast<HandoverFrame>(frame->front()) == HandoverFrame::handover) {
       co_await take_over(frame->substr(1));
@@ -309,13 +316,13 @@
   fail_forwarded_requests();
 }
 
-asio::awaitable<void> Handover::take_over(std::string inherited) {
-  // The other process has let go of it; a third one that looks in passing lets go at once.
+asio::awaitable<void> Handover::take_over(std::string handover_state) {
+  // The predecessor has released the lock; another process may hold it for a moment to check it.
   while (!lock_.try_acquire()) {
     poll_timer_.expires_after(1ms);
     co_await poll_timer_.async_wait(kAwait);
   }
-  become_active(std::move(inherited));
+  become_active(std::move(handover_state));
   std::cerr << "myrtlegrade: took over" << std::endl;
   if (relay_->knows_predecessor_calls() && predecessor_)
     predecessor_->send(RecordWriter(HandoverFrame::took_over).text(relay_->owner_name()));
@@ -362,7 +369,7 @@
   }
 }
 
-// ------------------------------------------------------------------------------------ giving over
+// ------------------------------------------------------------------------------- handing over
 
 asio::awaitable<void> Handover::accept_successors() {
   while (true) {
@@ -373,7 +380,7 @@
       co_await usage_timer_.async_wait(kAwait);
       continue;
     }
-    // One at a time; others try again. Nor can anybody take over what can't serve yet itself.
+    // One standby at a time; others retry. A relay that is not ready itself can't be taken over.
     if (successor_ || (ending_ && !can_hand_over()) || !relay_->ready()) continue;
     successor_ = std::make_shared<HandoverLink>(std::move(socket));
     spawn(executor_, serve_successor(successor_));
@@ -393,7 +400,7 @@
   if (successor_ != link) co_return;
   successor_ = nullptr;
   fail_forwarded_requests();
-  // What clients handed in may be on its disk or not: no answer would be true.
+  // The successor may or may not have stored the forwarded messages, so their outcome is unknown.
   for (const auto& [token, respond] : std::exchange(forwarded_messages_, {}))
     respond({Answer::Kind::failed, {}});
   if (handed_over_) {
@@ -403,7 +410,7 @@
   }
   if (!std::exchange(successor_ready_, false) || handed_over_) co_return;
   link_lost_at_ = SteadyClock::now();
-  if (ending_ && can_hand_over()) wait_for_link();  // lost between the question and its answer
+  if (ending_ && can_hand_over()) wait_for_link();  // lost between `prepare` and `prepared`
 }
 
 void Handover::on_successor_frame(const std::string& frame) {
@@ -453,14 +460,14 @@
   to.call_ended = [this](std::uint64_t call, CallEnd end) {
     if (successor_) successor_->send(write_call_ended(call, end));
   };
-  // What the process before this one has out is told through this one.
+  // Results of calls of this process's own predecessor pass through this process.
   to.all_reported = [this] {
     return forwarded_messages_.empty() && (!successor_ || (successor_->sent() && !predecessor_));
   };
-  const RecordWriter over = relay_->hand_over(std::move(to), on_done_, end_requested_at_);
-  if (fleet_) fleet_->stop();  // the new process is the same member: nothing is said of a leave
+  const RecordWriter state = relay_->hand_over(std::move(to), on_done_, end_requested_at_);
+  if (fleet_) fleet_->stop();  // no leave message: the successor is the same member
   lock_.release();
-  successor_->send(over);
+  successor_->send(state);
   send_descriptor_usage();
   std::cerr << "myrtlegrade: gave over" << std::endl;
 }
--- a/relay/handover_admin.cpp
+++ b/relay/handover_admin.cpp
@@ -1,4 +1,4 @@
-// The operators' calls: they may come to either process, and the one that is the relay carries them out.
+// Admin requests of operators. Either process may receive one; the active process handles it.
 #include <utility>
 
 #include "handover.h"
@@ -30,15 +30,15 @@
 void Handover::on_admin_reply(RecordReader& in, bool returned) {
   const auto found = forwarded_requests_.find(in.number());
   if (found == forwarded_requests_.end()) return;
-  const ForwardedRequest question = std::move(found->second);
+  const ForwardedRequest request = std::move(found->second);
   forwarded_requests_.erase(found);
-  if (!returned) return question.reply(in.text());
-  on_admin_request(question.line, question.reply);
+  if (!returned) return request.reply(in.text());
+  on_admin_request(request.line, request.reply);
 }
 
 void Handover::fail_forwarded_requests() {
-  for (const auto& [token, question] : std::exchange(forwarded_requests_, {}))
-    question.reply("NAK not serving");
+  for (const auto& [token, request] : std::exchange(forwarded_requests_, {}))
+    request.reply("NAK not serving");
 }
 
 }  // namespace myrtlegrade
--- a/relay/handover_link.cpp
+++ b/relay/handover_link.cpp
@@ -16,7 +16,7 @@
 HandoverLink::Protocol::endpoint HandoverLink::endpoint_in(const std::string& folder) {
   const std::string path = folder + "/successor";
   if (path.size() < sizeof(sockaddr_un::sun_path)) return {path};
-  // The address of a Unix socket is short. A descriptor of the folder, kept open, stands for its path.
+  // The path exceeds the limit for socket addresses: use one relative to an open descriptor of the folder.
   static const int descriptor = ::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC);
   return {"/proc/self/fd/" + std::to_string(descriptor) + "/successor"};
 }
--- a/relay/handover_successor.cpp
+++ b/relay/handover_successor.cpp
@@ -1,4 +1,4 @@
-// What a process that has given over knows of the one that took over, once the link between them is lost.
+// Supervision of the successor by a process that has handed over, once the link between them is lost.
 #include "handover.h"
 
 namespace myrtlegrade {
@@ -8,14 +8,16 @@
 
 namespace {
 
-constexpr auto kPollInterval = 20ms;  // between looks whether another process still is the relay
-// Of a process that has what was given over: held up before it reads that, and before it takes the lock.
+constexpr auto kPollInterval = 20ms;  // between checks whether another process is still active
+// For a successor that has received the handover state: it may be paused before it reads the state, and again
+// before it locks the state folder.
 constexpr auto kTakeoverTimeout = 2 * CallOwners::kMaxStall;
 
 }  // namespace
 
-// One that took over, or a later one: it reads what becomes of the calls from this process's file. The heir's
-// own file tells whether it died. Where it has gone in order, somebody else is the relay, or nobody.
+// Returns whether the successor, or a later process, can still read the results of the calls from this
+// process's file. The successor's own file shows whether it died. If it released its calls, another process
+// may be active by now, or none.
 bool Handover::successor_alive() {
   if (relay_->owner_name().empty()) return false;
   if (successor_name_.empty()) return successor_may_start();
@@ -24,7 +26,7 @@
   const bool is_free = is_state_lock_free();
   if (!is_free) lock_free_since_.reset();
   if (!is_free) return true;
-  // One that takes over may be held up just before it takes the lock.
+  // A process that takes over may be paused just before it locks the folder.
   if (!lock_free_since_) lock_free_since_ = SteadyClock::now();
   return SteadyClock::now() - *lock_free_since_ <= CallOwners::kMaxStall;
 }
@@ -35,8 +37,8 @@
   return is_free;
 }
 
-// What was given over may have reached a process that is held up before it takes over. Calls that are cut now
-// would be told only then; nobody else calls their messages meanwhile.
+// The handover state may have reached a process that is paused before it takes over. Calls that are cut now
+// would be reported only after that pause, and no other process repeats their messages in the meantime.
 bool Handover::successor_may_start() {
   return is_state_lock_free() && SteadyClock::now() - *link_lost_at_ <= kTakeoverTimeout;
 }
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -1,4 +1,4 @@
-// The end of a process: a drain after SIGTERM, or giving over to a process that takes its place.
+// The end of a process: a drain after SIGTERM, or a handover to its successor.
 #include <iostream>
 #include <utility>
 
@@ -12,18 +12,19 @@
 namespace {
 
 // A planned restart kills the process some 3.7 s after SIGTERM.
-constexpr auto kWorkOn = 1500ms;      // messages are still taken on and sent
-constexpr auto kClientsCome = 600ms;  // new connections may still be on their way
-constexpr auto kLeaveAfter = 2800ms;  // whatever is out then
-constexpr auto kGoneAfter = 3200ms;   // the same where a new process serves meanwhile
-constexpr auto kToldAfter = 3400ms;   // whether the new process has heard of all or not
-constexpr auto kDrainLook = 20ms;
+constexpr auto kAcceptDuration = 1500ms;      // messages are still accepted and sent
+constexpr auto kMinDrainDuration = 600ms;     // clients' new connections may still arrive
+constexpr auto kCutCallsAfter = 2800ms;       // calls in flight are cut
+constexpr auto kCutHandedOverAfter = 3200ms;  // the same after a handover, when the successor serves
+constexpr auto kExitAfter = 3400ms;           // even if results are not reported to the successor yet
+constexpr auto kDrainPollInterval = 20ms;
 
 }  // namespace
 
 // ------------------------------------------------------------------------------------------ drain
 
-// What it knows goes out in one piece, between two steps: from here on every decision is the new process's.
+// Takes the state in one piece, between two steps of the decision module: from here on, the successor makes
+// every decision.
 RecordWriter Relay::hand_over(Successor successor, std::function<void()> done,
                               SteadyClock::time_point since) {
   timers_.clear();
@@ -34,8 +35,8 @@
   step_timer_.cancel();
   watch_timer_.cancel();
   cancel_pending();
-  // Of bans, told waits and changes of the list this process hears nothing any more: what has not left may
-  // not leave, and is the new process's to decide.
+  // This process no longer learns of disabled hosts, server backoffs and list changes. Calls that are not
+  // written yet are withheld, and left to the successor's decision.
   host_client_.cancel_all_unsent();
   report_completions(journal_.flush());
   journal_.retire();
@@ -75,10 +76,10 @@
   return all;
 }
 
-// False: some of what became of them is not told yet.
+// Cuts the calls in flight. Returns false if some of their results are not reported yet.
 bool Relay::cut_calls() {
   host_client_.abort_all();
-  if (!successor_) flush_journal();  // what never left may be tried by a restart
+  if (!successor_) flush_journal();  // calls that were never sent may be tried again after the restart
   return !successor_ || (successor_->all_reported() && owners_.written());
 }
 
@@ -99,25 +100,26 @@
 
 void Relay::continue_drain() {
   const auto passed = SteadyClock::now() - draining_since_;
-  if (!closing_ && passed >= kWorkOn) {
-    if (!new_messages_.empty()) step();  // they still wait for their answer
+  if (!closing_ && passed >= kAcceptDuration) {
+    if (!new_messages_.empty()) step();  // their clients still wait for a response
     closing_ = true;
   }
   report_completions(flush_journal());
-  const bool idle = !successor_ && passed >= kClientsCome && open_count_ == 0 && server_.connections() == 0 &&
-                    host_client_.calls_in_flight() == 0 && !discovery_.notices_pending();
+  const bool idle = !successor_ && passed >= kMinDrainDuration && open_count_ == 0 &&
+                    server_.connections() == 0 && host_client_.calls_in_flight() == 0 &&
+                    !discovery_.notices_pending();
   const bool quiet = closing_ && calls_in_flight_.empty() && server_.connections() == 0 &&
                      (!successor_ || (successor_->all_reported() && owners_.written()));
-  const bool leaves = passed >= (successor_ ? kGoneAfter : kLeaveAfter);
-  // The connections are closed before anybody may take this process for gone.
-  const bool told = leaves && (cut_calls() || passed >= kToldAfter);
-  if (idle || quiet || told) {
+  const bool leaves = passed >= (successor_ ? kCutHandedOverAfter : kCutCallsAfter);
+  // Connections are closed before another process may treat this one as gone.
+  const bool cut_reported = leaves && (cut_calls() || passed >= kExitAfter);
+  if (idle || quiet || cut_reported) {
     log_counters();
     on_drained_();
     return;
   }
-  if (successor_ && host_client_.calls_in_flight() == 0) owners_.release();  // nothing leaves any more
-  drain_timer_.expires_after(kDrainLook);
+  if (successor_ && host_client_.calls_in_flight() == 0) owners_.release();  // no further call is made
+  drain_timer_.expires_after(kDrainPollInterval);
   drain_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) continue_drain();
   });
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -1,5 +1,5 @@
-// What a process finds of the ones before it: the journal, what was handed over, and calls that are still
-// out.
+// Restores the state that earlier processes left: the journal, the handover state, and calls that are still
+// in flight.
 #include <algorithm>
 #include <iostream>
 #include <unordered_map>
@@ -24,12 +24,12 @@
   if (inherited) release_in_slices(executor_, std::move(config_.known_hosts->entries));
   config_.known_hosts.reset();
   if (inherited) {
-    for (const vetchhinge::LimitGroupSnapshot& lane : inherited->learned.limit_groups)
-      endpoints_.activate(lane.host, events_);
+    for (const vetchhinge::LimitGroupSnapshot& limit_group : inherited->learned.limit_groups)
+      endpoints_.activate(limit_group.host, events_);
     for (const vetchhinge::HostSnapshot& host : inherited->learned.hosts)
       endpoints_.activate(host.host, events_);
-    // The module gets to know a host when it hears that it runs: also one that drains by now, for what was
-    // learned there, as a told wait, binds towards all of its destination.
+    // The decision module registers a host when it is reported as running. Draining hosts are reported so
+    // once, too, since their learned state (such as a server backoff) applies to their whole destination.
     for (std::size_t n = events_.size(); n > 0; --n) {
       auto once = std::get<vetchhinge::HostList>(events_[n - 1]);
       for (vetchhinge::HostEntry& entry : once.entries) entry.state = HostState::running;
@@ -39,8 +39,8 @@
   }
   for (const std::string& host : journal_.disabled_hosts()) apply_operator_override(host, true);
   for (Notice& notice : journal_.take_notices()) {
-    // Whether others know that it goes back to its client is not known: its failure does no harm to what they
-    // do.
+    // With copies, it is unknown whether other members know that the message is handed back to its client, so
+    // the notice reports a failure, which does not conflict with what they do.
     notice.handed_back = notice.handed_back && !copies_;
     discovery_.send_notice(notice);
   }
@@ -77,11 +77,11 @@
   schedule_counter_log();
 }
 
-// What an earlier process had taken on, with what it knew of the message's attempts.
+// Restores a message that an earlier process accepted, with its known attempts.
 void Relay::restore_message(const StoredMessage& stored, const HandedOverAttempt* out,
                             const std::vector<bool>& astray) {
   const auto cls = config_.dialect.classes.find(stored.cls);
-  if (!cls) {  // the class is gone from the settings: nobody can say what a repeat would do
+  if (!cls) {  // the class was removed from the settings, so it is unknown whether a retry is safe
     const Notice notice{stored.id, false, {}};
     journal_.complete_with_notice(notice);
     discovery_.send_notice(notice);
@@ -132,7 +132,7 @@
   events_.emplace_back(std::move(message));
 }
 
-// One that is over, but has a call out that still takes a slot.
+// Restores a call in flight whose message is completed; the call still occupies a slot.
 void Relay::restore_call_in_flight(const HandedOverAttempt& out) {
   const auto cls = config_.dialect.classes.find(out.cls);
   if (!cls || ids_.contains(out.message)) return;
@@ -147,7 +147,7 @@
   ids_.emplace(out.message, id);
   endpoints_.activate(out.destination, events_);
   vetchhinge::Message message{id, *cls, vetchhinge::DestinationId(out.destination), now(), {}, {}, {}};
-  message.past_attempts.resize(out.attempt);  // that never ran, for all that it matters now
+  message.past_attempts.resize(out.attempt);  // earlier attempts no longer matter: they count as never run
   message.past_attempts.push_back(
       restore_attempt_in_flight(open, out, sent_at({out.sent_at}, read_clocks())));
   events_.emplace_back(std::move(message));
@@ -171,7 +171,7 @@
   return {zone, sent, true, true, id, out.call};
 }
 
-// ------------------------------------------------------------------------------ calls of earlier processes
+// ----------------------------------------------------------------------------- calls of earlier processes
 
 void Relay::on_predecessor_outcome(const std::string& id, std::uint32_t attempt, const CallResult& result) {
   const auto found = ids_.find(id);
@@ -217,7 +217,7 @@
   });
 }
 
-// Numbers are each owner's own, and what a link has told before is not out any more.
+// Call numbers are local to their owner. A call whose end the link has already reported is ignored.
 void Relay::on_call_record(const std::string& owner, const CallRecord& record) {
   if (!is_in_flight_at(owner, record.call)) return;
   if (record.kind == CallRecord::Kind::outcome)
@@ -226,7 +226,7 @@
   on_predecessor_call_ended(record.call, record.end);
 }
 
-// Its connections are closed. Nothing tells what became of the calls that are left.
+// The owner's connections are closed. The results of its remaining calls stay unknown, so they count as cut.
 void Relay::on_owner_exited(const std::string& owner) {
   on_unconfirmed_owner_exited(owner);
   std::vector<std::uint64_t> left;
@@ -242,8 +242,8 @@
   post_event(vetchhinge::PredecessorCallsEnded{});
 }
 
-// One without a name can only be waited for: so long it may take from the link's end to that of its
-// connections.
+// A predecessor without a file in the state folder can't be watched: its connections count as closed after
+// the longest time that this may take once the link has ended.
 void Relay::on_predecessor_disconnected() {
   predecessor_disconnected_ = true;
   release_reserved_descriptors();
@@ -253,7 +253,8 @@
   });
 }
 
-// Where its link is lost, it holds what it told last for as long as its calls go on.
+// After the loss of the link, the predecessor's last reported descriptors stay reserved until its calls have
+// ended.
 void Relay::release_reserved_descriptors() {
   const auto elsewhere = [](const auto& entry) { return entry.second.at_predecessor; };
   if (predecessor_disconnected_ && std::ranges::none_of(calls_in_flight_, elsewhere)) reserve_descriptors(0);
--- a/relay/relay_waiting.cpp
+++ b/relay/relay_waiting.cpp
@@ -1,5 +1,5 @@
-// Messages that wait until it is known that they are still this relay's to end, with a call of an earlier
-// process out: what is told of the call meanwhile is kept, and counts once the message is taken up.
+// Messages whose ownership is not confirmed yet, with a call of an earlier process in flight. Results that
+// are reported for the call in the meantime are stored, and applied once the message is restored.
 #include <algorithm>
 #include <utility>
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-// The last outcome counts, and a final one stays. A link and the owner's file may both tell it.
+// Stores the latest outcome; a final one is not replaced. The link and the owner's file may both report it.
 void Relay::on_unconfirmed_outcome(const std::string& id, std::uint32_t attempt, const CallResult& result) {
   const auto found = unconfirmed_.find(id);
   if (found == unconfirmed_.end() || !found->second.predecessor_call) return;
@@ -48,7 +48,8 @@
   }
 }
 
-// It has no call out, and may get no other: whoever acts on it can only end it.
+// Returns whether the message has no call in flight and may get no further one, so that its owner, whichever
+// relay that is, can only complete it as undelivered.
 bool Relay::can_only_complete(const UnconfirmedMessage& waiting) const {
   if (!waiting.predecessor_call || !waiting.predecessor_call->call_end) return false;
   const HandedOverAttempt& out = *waiting.predecessor_call;
@@ -62,8 +63,8 @@
   return made >= config_.settings.max_attempts || (may_have_run && is_at_most_once(waiting.stored.cls));
 }
 
-// Its notice is owed now, and does no harm to what another may have ended: it does not wait until this relay
-// may act on it.
+// Restores messages whose notice is due now. This need not wait until their ownership is confirmed: the
+// notice does not conflict with a completion by another relay.
 void Relay::restore_completable() {
   if (closing_ || successor_) return;
   std::vector<std::string> ids;
@@ -77,13 +78,14 @@
   }
 }
 
-// The call was booked with its message, as if it were still out.
+// The call was restored with its message as if it were still in flight; applies its stored results.
 void Relay::apply_reported(const HandedOverAttempt& out) {
   if (out.reported_result) on_predecessor_outcome(out.message, out.attempt, *out.reported_result);
   if (out.call_end) on_predecessor_call_ended(out.call, *out.call_end);
 }
 
-// True: nobody is told of its end, whatever others took for it.
+// Completes a message whose call has delivered it, without a notice, whatever other relays assumed. Returns
+// false if no delivery was reported.
 bool Relay::complete_if_delivered(const std::string& id) {
   const auto found = unconfirmed_.find(id);
   if (found == unconfirmed_.end() || !found->second.predecessor_call ||
@@ -104,7 +106,8 @@
   return true;
 }
 
-// What is still out takes a slot of its endpoint, and the module hears what the endpoint said.
+// Removes the message. A call in flight still occupies a slot of its endpoint, and the decision module
+// receives the endpoint's response.
 void Relay::close_unconfirmed(const std::string& id) {
   auto waiting = unconfirmed_.extract(id);
   if (!waiting || !waiting.mapped().predecessor_call) return;
--- a/tests/arrival_test.cpp
+++ b/tests/arrival_test.cpp
@@ -113,7 +113,7 @@
 // A process reads the request after its handover, and passes its arrival time over the link.
 TEST_P(RepeatedStallTest, AtAProcessAfterItsHandover) {
   tcp::socket client = connect_and_ask();
-  start_beside(new_);
+  start_standby(new_);
   ASSERT_TRUE(wait_healthy(new_));
   process_->signal(SIGTERM);
   while (new_->log_with_start().find("took over") == std::string::npos) std::this_thread::sleep_for(1ms);
--- a/tests/call_ends_test.cpp
+++ b/tests/call_ends_test.cpp
@@ -1,5 +1,5 @@
-// Three processes of one relay, A, B and C: A's call is handed over twice. Whatever becomes of the links
-// between them, C knows how the call ended, and in time.
+// Three processes of one relay, A, B and C: a call of A is handed over twice. Whatever happens to the links
+// between the processes, C learns in time how the call ended.
 #include "call_ends.h"
 
 #include <unistd.h>
@@ -13,18 +13,18 @@
 namespace myrtlegrade::test {
 namespace {
 
-// A message rests so long behind an attempt that failed (kBackoffLeast, kAgainShare).
-constexpr auto kRest = 100ms;
-constexpr auto kToldWithin = 150ms;  // an end that is known: 100 ms, on sockets 50 ms longer (PROTOCOL)
+constexpr auto kRetryBackoff = 100ms;   // delay after a failed attempt, from the module's minimum backoff
+constexpr auto kNoticeTimeout = 150ms;  // a notice is due within 100 ms, plus 50 ms on real sockets
 
 class CallEndsTest : public HandoverTest {
  protected:
-  enum class Answer { none, delivered, told_to_wait };
+  enum class Answer { none, delivered, server_backoff };
 
-  // `p1` holds the call that a test ends, `b1` one that keeps A for as long as a process may have calls out.
+  // `p1` holds the call that the test ends; `b1` holds one that keeps A running for as long as a process may
+  // have calls in flight.
   void hand_over_twice(const std::string& cls) {
     add_host("p1", 3, "plain",
-             [this](tcp::socket& socket, Request& request) { return hold_one(socket, request); });
+             [this](tcp::socket& socket, Request& request) { return hold_first(socket, request); });
     add_silent_host("b1", 2, "bulk");
     next_environment_ = {{"LD_PRELOAD", SHIM}, {"SOAK_BROKEN_LINK", broken_in_second_}};
     start_old(6000, 6000);
@@ -37,8 +37,8 @@
     upgrade(new_, third_);
   }
 
-  // The first call waits for the test, later ones are answered at once.
-  bool hold_one(tcp::socket& socket, Request& request) {
+  // Holds the first call until the test ends it; responds to later ones at once.
+  bool hold_first(tcp::socket& socket, Request& request) {
     if (!first_.exchange(false)) {
       if (is_open(held_)) watched_.change([this] { overlapping_calls_.emplace_back("m"); });
       return kAccept(socket, request);
@@ -46,7 +46,7 @@
     held_ = socket.native_handle();
     watched_.wait([this] { return test_over_ || answer_.has_value(); });
     if (watched_.read([this] { return answer_ == Answer::delivered; })) kAccept(socket, request);
-    if (watched_.read([this] { return answer_ == Answer::told_to_wait; }))
+    if (watched_.read([this] { return answer_ == Answer::server_backoff; }))
       answer(socket, 429, "", {{"X-RateLimit-Wait-Ms", "60000"}});
     boost::system::error_code ignored;
     socket.shutdown(tcp::socket::shutdown_both, ignored);
@@ -60,22 +60,22 @@
     ASSERT_TRUE(watched_.wait([this] { return ended_ != SteadyClock::time_point{}; }));
   }
 
-  // The old process says something at least each 50 ms: the read of it breaks the link, and the old one
-  // notices.
+  // Breaks the link at the new process's next read (the old process sends a frame at least every 50 ms), and
+  // waits until the old process has noticed.
   void break_link(const fs::path& file, const std::optional<Process>& old) {
     std::ofstream(file) << "now";
     ASSERT_TRUE(wait_log(old, "the new process is "));
   }
 
-  void expect_given_up_in_time(SteadyClock::duration within = kToldWithin) {
+  void expect_given_up_in_time(SteadyClock::duration timeout = kNoticeTimeout) {
     ASSERT_TRUE(wait_notice("m", "given_up"));
-    EXPECT_LT(SteadyClock::now() - ended_, within);
-    EXPECT_EQ(count_deliveries("m"), 1U) << "it may have run, and may not be repeated";
+    EXPECT_LT(SteadyClock::now() - ended_, timeout);
+    EXPECT_EQ(count_deliveries("m"), 1U) << "may have run, so must not be repeated";
   }
 
   void expect_repeated_in_time() {
     ASSERT_TRUE(wait_delivered("m", 2));
-    EXPECT_LT(SteadyClock::now() - ended_, kToldWithin + kRest);
+    EXPECT_LT(SteadyClock::now() - ended_, kNoticeTimeout + kRetryBackoff);
     EXPECT_EQ(overlapping_calls(), std::vector<std::string>{});
   }
 
@@ -94,7 +94,7 @@
   SteadyClock::time_point ended_{};
 };
 
-// Guards against a notice that waits for A's process (soak 1318: 0.75 to 1.1 s after the call's end).
+// Guards against a notice that is delayed until process A exits (soak, seed 1318: 0.75 to 1.1 s late).
 TEST_F(CallEndsTest, AnEndIsKnownThoughTheLinkToTheLastProcessBrokeBefore) {
   hand_over_twice("refund");
   break_link(broken_in_third_, new_);
@@ -102,17 +102,17 @@
   expect_given_up_in_time();
 }
 
-// Guards against a repeat that waits for A's process.
+// Guards against a retry that is delayed until process A exits.
 TEST_F(CallEndsTest, AMessageIsRepeatedThoughTheLinkToTheLastProcessBrokeBefore) {
   hand_over_twice("note");
   break_link(broken_in_third_, new_);
   std::this_thread::sleep_for(2 * kMaxStall);
-  EXPECT_EQ(count_deliveries("m"), 1U) << "its call is still out";
+  EXPECT_EQ(count_deliveries("m"), 1U) << "its call is still in flight";
   end_call(Answer::none);
   expect_repeated_in_time();
 }
 
-// Guards against losing an end that was sent and not read: the link breaks with it.
+// Guards against the loss of a result that was sent over the link but not read before the link broke.
 TEST_F(CallEndsTest, AnEndIsKnownThoughTheLinkToTheLastProcessBreaksWithIt) {
   hand_over_twice("refund");
   third_->signal(SIGSTOP);
@@ -120,10 +120,10 @@
   std::ofstream(broken_in_third_) << "now";
   std::this_thread::sleep_for(kMaxStall / 2);
   third_->signal(SIGCONT);
-  expect_given_up_in_time(kToldWithin + kMaxStall);
+  expect_given_up_in_time(kNoticeTimeout + kMaxStall);
 }
 
-// Guards against hearing an end twice: by the link, and then by what is left once that is broken.
+// Guards against counting a result twice: once from the link, and again from the file after the link broke.
 TEST_F(CallEndsTest, AnEndThatTheLinkToldIsNotTakenForAnother) {
   hand_over_twice("note");
   end_call(Answer::none);
@@ -133,7 +133,7 @@
   EXPECT_EQ(count_deliveries("m"), 2U);
 }
 
-// Guards against the same where the link between the first two breaks: the second one hears nothing.
+// Guards against a late notice where the link between A and B breaks, so that B receives no result.
 TEST_F(CallEndsTest, AnEndIsKnownThoughTheLinkToTheFirstProcessBreaks) {
   hand_over_twice("refund");
   break_link(broken_in_second_, process_);
@@ -141,7 +141,7 @@
   expect_given_up_in_time();
 }
 
-// Guards against giving up what was delivered, since nobody told of its answer.
+// Guards against giving up a message that was delivered, because its response was not reported over a link.
 TEST_F(CallEndsTest, AnAnswerIsKnownThoughTheLinkToTheLastProcessBrokeBefore) {
   hand_over_twice("refund");
   break_link(broken_in_third_, new_);
@@ -149,12 +149,13 @@
   expect_known_as_delivered();
 }
 
-// Guards against calls to an endpoint that has told to wait, in an answer that nobody passed on.
+// Guards against calls to an endpoint during its server backoff, because the response that asked for it was
+// not reported over a link.
 TEST_F(CallEndsTest, AToldWaitIsKnownThoughTheLinkToTheLastProcessBrokeBefore) {
   hand_over_twice("note");
   break_link(broken_in_third_, new_);
-  end_call(Answer::told_to_wait);
-  std::this_thread::sleep_for(kToldWithin);
+  end_call(Answer::server_backoff);
+  std::this_thread::sleep_for(kNoticeTimeout);
   ASSERT_EQ(submit("other", "note", 3), 202U);
   EXPECT_EQ(process_->wait(), 0);
   std::this_thread::sleep_for(2 * kMaxStall);
@@ -162,7 +163,8 @@
   EXPECT_EQ(count_deliveries("other"), 0U);
 }
 
-// Guards against calls that are cut with a link, though the process behind it lives and knows them.
+// Guards against calls that are cut when a link is lost, although the process at its other end is alive and
+// knows them.
 TEST_F(CallEndsTest, AnAnswerIsKnownThoughTheLinkToTheFirstProcessBroke) {
   hand_over_twice("refund");
   break_link(broken_in_second_, process_);
@@ -171,7 +173,8 @@
   expect_known_as_delivered();
 }
 
-// Guards against calls that go on where nobody is left to hear of them: they would hold back their messages.
+// Guards against calls that continue although no process is left that reads their results: their messages
+// could not be retried meanwhile.
 TEST_F(CallEndsTest, CallsEndOnceTheProcessBehindALostLinkIsKilled) {
   hand_over_twice("refund");
   break_link(broken_in_second_, process_);
@@ -181,41 +184,41 @@
   EXPECT_EQ(process_->wait(), 0);
 }
 
-// Guards against a process that ends with something to say that its folder does not take at that moment: its
-// successor would take the call for one that was cut.
+// Guards against a process that exits before it could write a result, because its state folder failed at that
+// time: its successor would treat the call as cut.
 TEST_F(CallEndsTest, AnAnswerIsKnownThoughTheFolderOfALonelyProcessFailsForAMoment) {
-  constexpr auto kFailsFrom = 2000ms, kFailsFor = 400ms, kWithin = 50ms;
+  constexpr auto kFailureStart = 2000ms, kFailureDuration = 400ms, kMargin = 50ms;
   const auto begun = SteadyClock::now();
   environment_ = {{"LD_PRELOAD", SHIM},
                   {"SOAK_BEGIN_MS", std::to_string(begun.time_since_epoch() / 1ms)},
-                  {"SOAK_FOLDER", std::to_string(kFailsFrom / 1ms) + ":" +
-                                      std::to_string((kFailsFrom + kFailsFor) / 1ms) + ":1"}};
+                  {"SOAK_FOLDER", std::to_string(kFailureStart / 1ms) + ":" +
+                                      std::to_string((kFailureStart + kFailureDuration) / 1ms) + ":1"}};
   next_environment_ = {{"LD_PRELOAD", SHIM}, {"SOAK_BROKEN_LINK", broken_in_second_}};
   add_host("p1", 3, "plain",
-           [this](tcp::socket& socket, Request& request) { return hold_one(socket, request); });
+           [this](tcp::socket& socket, Request& request) { return hold_first(socket, request); });
   start_old(6000, 6000);
   ASSERT_EQ(submit("m", "refund", 3), 202U);
   ASSERT_TRUE(wait_delivered("m"));
   upgrade(process_, new_);
   break_link(broken_in_second_, process_);
-  std::this_thread::sleep_until(begun + kFailsFrom + kWithin);
+  std::this_thread::sleep_until(begun + kFailureStart + kMargin);
   end_call(Answer::delivered);
   expect_known_as_delivered();
 }
 
-// Guards against losing what was said by a process that has gone, in order, before its successor looked.
+// Guards against the loss of results of a process that exited in order before its successor read them.
 TEST_F(CallEndsTest, AnAnswerIsKnownThoughItsProcessEndedBeforeTheLastOneLooked) {
   hand_over_twice("refund");
   break_link(broken_in_third_, new_);
   third_->signal(SIGSTOP);
   end_call(Answer::delivered);
-  watched_.change([this] { released_ = true; });  // nothing keeps A any more
+  watched_.change([this] { released_ = true; });  // A has no reason to keep running
   EXPECT_EQ(process_->wait(), 0);
   third_->signal(SIGCONT);
   expect_known_as_delivered();
 }
 
-// Guards against counting a killed process as gone before what it said is read.
+// Guards against counting a killed process as gone before its results are read.
 TEST_F(CallEndsTest, AnAnswerIsKnownThoughItsProcessWasKilledBehindIt) {
   hand_over_twice("refund");
   break_link(broken_in_third_, new_);
@@ -230,8 +233,8 @@
   EXPECT_EQ(count_deliveries("m"), 1U);
 }
 
-// Guards against a configuration that the old process alone was told to read, where the new one serves
-// without having heard of it: it would ask a service that is gone.
+// Guards against a new process that serves with an outdated configuration, because only the old process got
+// the reload signal and the link was down: it would contact a discovery service that is gone.
 TEST_F(CallEndsTest, TheFileIsReadAgainWhereNoLinkToldOfANewOne) {
   next_environment_ = {{"LD_PRELOAD", SHIM}, {"SOAK_BROKEN_LINK", broken_in_second_}};
   add_silent_host("p1", 3, "plain");
@@ -252,8 +255,7 @@
   EXPECT_TRUE(wait_requested("moved", "/catalog/members"));
 }
 
-// Guards against a record that is lost, or read before it is whole, where a write fails or stops in the
-// middle.
+// Guards against a record that is lost, or read while incomplete, where a write fails or ends early.
 TEST(CallEndsFileTest, WhatIsTornIsReadOnceItIsWhole) {
   const std::unique_ptr<std::FILE, int (*)(std::FILE*)> owner(std::tmpfile(), std::fclose);
   const int file = ::fileno(owner.get());
--- a/tests/call_owners_test.cpp
+++ b/tests/call_owners_test.cpp
@@ -1,4 +1,4 @@
-// Which earlier processes may still have calls out, by the locks on their files.
+// Detection of earlier processes that may still have calls in flight, by the locks on their files.
 #include "call_owners.h"
 
 #include <fcntl.h>
@@ -17,8 +17,8 @@
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
 
-// Guards against counting the time for which a lock has been free from before its owner took it: a file is
-// made first and locked then, and who looks in between finds it free.
+// Guards against counting time before the owner locked its file as time for which the lock has been free: a
+// file is created first and then locked, and a poll in between finds it unlocked.
 TEST(CallOwnersTest, ALockThatWasFreeBeforeIsWaitedForAnew) {
   std::string pattern = fs::temp_directory_path() / "owners-XXXXXX";
   const fs::path folder = ::mkdtemp(pattern.data());
--- a/tests/handover_fixture.h
+++ b/tests/handover_fixture.h
@@ -1,4 +1,4 @@
-// Real processes of one relay that hand over to each other, with calls out that their endpoints hold.
+// Fixture for tests with real processes of one relay that hand over to each other while calls are in flight.
 #pragma once
 
 #include <sys/socket.h>
@@ -7,22 +7,23 @@
 
 namespace myrtlegrade::test {
 
-// A page allows a relay to be held up for so long at any point.
+// Longest pause of a process that the relay's guarantees allow for, at any point.
 inline constexpr auto kMaxStall = 150ms;
 
 class HandoverTest : public UpgradeTest {
  protected:
-  // An endpoint that answers nothing until `released_`, and sees whether a message comes again while an
-  // earlier call with it is open.
+  // Adds an endpoint that does not respond until `released_`, and detects a message that arrives again while
+  // an earlier call with it is open.
   void add_silent_host(const std::string& id, int cell, const std::string& kind) {
-    add_host(id, cell, kind, [this](tcp::socket& socket, Request& request) { return hold(socket, request); });
+    add_host(id, cell, kind,
+             [this](tcp::socket& socket, Request& request) { return hold_call(socket, request); });
   }
 
-  bool hold(tcp::socket& socket, Request& request) {
+  bool hold_call(tcp::socket& socket, Request& request) {
     const int file = socket.native_handle();
     const std::vector<std::string> ids = messages_of(request);
     watched_.change([&] {
-      for (const std::string& id : ids) arrived(id, file);
+      for (const std::string& id : ids) record_arrival(id, file);
     });
     while (!watched_.read([this] { return test_over_ || released_; }) && is_open(file)) {
       std::this_thread::sleep_for(2ms);
@@ -33,7 +34,7 @@
     return is_open(file) && kAccept(socket, request);
   }
 
-  void arrived(const std::string& id, int file) {
+  void record_arrival(const std::string& id, int file) {
     std::vector<int>& files = open_calls_[id];
     if (std::ranges::any_of(files, is_open)) overlapping_calls_.push_back(id);
     files.push_back(file);
@@ -53,7 +54,7 @@
     return ids;
   }
 
-  // Time-outs follow the aims: that of `note` once, that of `refund` twice.
+  // Timeouts follow from the latency targets (`aim`): once that of `note`, twice that of `refund`.
   static json::object with_aims(json::object config, double note_ms, double refund_ms) {
     json::array& classes = config["settings"].as_object()["classes"].as_array();
     for (json::value& cls : classes) {
@@ -68,7 +69,7 @@
     start(with_aims(with_admin_address(), note_ms, refund_ms));
   }
 
-  // The shim delays each close of a connection of that process.
+  // Makes the shim delay each close of a connection of the old process.
   void delay_closes_of_old() {
     environment_["LD_PRELOAD"] = SHIM;
     environment_["SOAK_CLOSE_MS"] = std::to_string(kMaxStall.count());
@@ -85,7 +86,7 @@
     process.emplace(PROGRAM, environment);
   }
 
-  // A process that stands by takes over from one that is told to end.
+  // Starts `to` as standby of `from`, and ends `from` so that `to` takes over.
   void upgrade(std::optional<Process>& from, std::optional<Process>& to) {
     start_next(to);
     ASSERT_TRUE(wait_healthy(to));
@@ -106,14 +107,14 @@
     return watched_.read([this] { return overlapping_calls_; });
   }
 
-  // After all earlier calls have ended the message is still owed, and comes once more.
+  // Expects that the message is sent once more, after all earlier calls have ended.
   void expect_repeated_after_calls_end(const std::string& id) {
-    EXPECT_TRUE(wait_delivered(id, 2)) << "the message is still owed";
+    EXPECT_TRUE(wait_delivered(id, 2)) << "the message is not completed yet";
     EXPECT_EQ(overlapping_calls(), std::vector<std::string>{});
   }
 
   double note_ms_ = 0, refund_ms_ = 0;
-  std::map<std::string, std::string> next_environment_;  // of processes that stand by
+  std::map<std::string, std::string> next_environment_;  // of standby processes
   std::map<std::string, std::vector<int>> open_calls_;   // sockets, by message
   std::vector<std::string> overlapping_calls_;
   std::optional<Process> third_;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,5 +1,5 @@
-// Calls that outlive the process that made them: nobody may repeat their messages while their connections are
-// open, whichever of the relay's processes has taken over, died, or been held up meanwhile.
+// Calls in flight at a handover: no process may repeat their messages while their connections are open,
+// whichever processes of the relay have taken over, died or been paused in the meantime.
 #include <unistd.h>
 
 #include "coroutine.h"
@@ -11,7 +11,7 @@
 namespace myrtlegrade::test {
 namespace {
 
-// In the place of a process that stands by.
+// Acts as a standby process until it receives the handover state, and closes the link then.
 boost::asio::awaitable<void> stand_by(HandoverLink::Protocol::socket socket, std::optional<Process>& old) {
   const auto link = std::make_shared<HandoverLink>(std::move(socket));
   const auto descriptor = co_await link->receive_descriptor();
@@ -26,11 +26,11 @@
     if (kind == HandoverFrame::prepare) link->send(RecordWriter(HandoverFrame::prepared));
     frame = co_await link->receive();
   }
-  EXPECT_TRUE(frame) << "nothing was given over";
+  EXPECT_TRUE(frame) << "no handover state was sent";
   link->close();
 }
 
-void take_what_is_given_over(const std::string& folder, std::optional<Process>& old) {
+void receive_handover(const std::string& folder, std::optional<Process>& old) {
   boost::asio::io_context context;
   HandoverLink::Protocol::socket socket(context);
   socket.connect(HandoverLink::endpoint_in(folder));
@@ -38,8 +38,8 @@
   context.run();
 }
 
-// One of two messages of a bulk call has timed out when the process gives over, the other one has not: the
-// call is open, and so holds both back.
+// One of the two messages of a bulk call has timed out at the handover, the other has not: the call is still
+// open, so neither message may be repeated.
 TEST_F(HandoverTest, WhatTimedOutInAnOpenBulkCallIsNotRepeated) {
   add_silent_host("b1", 2, "bulk");
   add_silent_host("b2", 2, "bulk");
@@ -50,14 +50,14 @@
   ASSERT_EQ(submit("long", "refund", 2), 202U);
   ASSERT_TRUE(wait_delivered("short"));
   ASSERT_TRUE(wait_delivered("long"));
-  std::this_thread::sleep_for(700ms);  // past the first time-out, far from the second
+  std::this_thread::sleep_for(700ms);  // past the first timeout, long before the second
   process_->signal(SIGTERM);
   EXPECT_EQ(process_->wait(), 0);
   expect_repeated_after_calls_end("short");
-  EXPECT_EQ(count_deliveries("long"), 1U) << "it may have run, and may not be repeated";
+  EXPECT_EQ(count_deliveries("long"), 1U) << "may have run, so must not be repeated";
 }
 
-// The same with the call handed over twice: the second process has to know what the first one told it.
+// The same with two handovers: the second process has to pass on the results that the first one reported.
 TEST_F(HandoverTest, WhatTimedOutInAnOpenBulkCallIsNotRepeatedByAThirdProcess) {
   add_silent_host("b1", 2, "bulk");
   add_silent_host("b2", 2, "bulk");
@@ -69,13 +69,13 @@
   ASSERT_TRUE(wait_delivered("short"));
   process_->signal(SIGTERM);
   ASSERT_TRUE(wait_log(new_, "took over"));
-  std::this_thread::sleep_for(800ms);  // the first time-out is told by now
+  std::this_thread::sleep_for(800ms);  // the first timeout is reported by now
   upgrade(new_, third_);
   EXPECT_EQ(process_->wait(), 0);
   expect_repeated_after_calls_end("short");
 }
 
-// A process with no call of its own is told to end while the one before it still has some.
+// A process without calls of its own is asked to end while its predecessor still has calls in flight.
 TEST_F(HandoverTest, AThirdProcessWaitsForTheFirstOnesCalls) {
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
@@ -89,7 +89,7 @@
   expect_repeated_after_calls_end("m");
 }
 
-// The process that took over is killed; the one started in its place finds the journal alone.
+// The process that took over is killed; the process started in its place has only the journal.
 TEST_F(HandoverTest, AProcessThatIsStartedAnewWaitsForCallsOfAnEarlierOne) {
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
@@ -103,7 +103,7 @@
   EXPECT_EQ(process_->wait(), 0);
 }
 
-// The same with the first process stopped: it can't end its calls, and says nothing.
+// The same with the first process stopped, so that it neither ends its calls nor reports anything.
 TEST_F(HandoverTest, AProcessThatIsStartedAnewWaitsForOneThatIsStopped) {
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
@@ -114,7 +114,7 @@
   process_->signal(SIGSTOP);
   EXPECT_EQ(end(new_, SIGKILL), 128 + SIGKILL);
   start_next(third_);
-  ASSERT_EQ(submit("other", "note", 3), 202U) << "it serves meanwhile";
+  ASSERT_EQ(submit("other", "note", 3), 202U) << "serves in the meantime";
   std::this_thread::sleep_for(1s);
   EXPECT_EQ(count_deliveries("m"), 1U);
   process_->signal(SIGKILL);
@@ -122,7 +122,7 @@
   expect_repeated_after_calls_end("m");
 }
 
-// The old process leaves with a call open, and is held up before it closes the connection.
+// The old process exits with a call open, and is paused before it closes the connection.
 TEST_F(HandoverTest, TheEndOfTheOldProcessIsNotTheEndOfItsCalls) {
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
@@ -135,7 +135,7 @@
   expect_repeated_after_calls_end("m");
 }
 
-// A time-out is told once the connection is closed, however long that takes.
+// A timeout is reported only once the connection is closed, however long that takes.
 TEST_F(HandoverTest, ATimeOutIsNotTheEndOfItsCall) {
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
@@ -148,13 +148,12 @@
   expect_repeated_after_calls_end("m");
 }
 
-// The link between both processes breaks behind the hand-over. The old process, whom nobody hears any more,
-// closes its calls at once and says so by taking away its file of calls. What happened: the new process took
-// that for the end of a killed process, whose connections may be open for 0.15 s longer, and only then gave
-// its messages up (soak, seed 345: `end=cut` at an age of 928 ms in the old process, 161 ms later in the new
-// one; with a notice's tries that is more than the owed 150 ms).
+// The link breaks after the handover, and the old process closes its calls at once. Guards against a
+// successor that treats this like a killed process, whose connections may stay open for 150 ms longer, and so
+// gives the messages up too late: 161 ms after the calls were cut (soak, seed 345), where a notice is due
+// within 150 ms.
 TEST_F(HandoverTest, WhatIsCutByALostLinkIsGivenUpAtOnce) {
-  constexpr auto kAnswerWithin = 150ms;  // what is given up on: 100 ms, on sockets 50 ms longer (PROTOCOL)
+  constexpr auto kNoticeTimeout = 150ms;  // a notice is due within 100 ms, plus 50 ms on real sockets
   SteadyClock::time_point closed;
   add_host("p1", 3, "plain", [&](tcp::socket& socket, Request&) {
     while (!watched_.read([this] { return test_over_; }) && is_open(socket.native_handle())) {
@@ -171,14 +170,13 @@
   upgrade(process_, new_);
   std::ofstream(broken) << "now";
   ASSERT_TRUE(wait_notice("m", "given_up"));
-  const auto told = SteadyClock::now();
-  EXPECT_LT(told - watched_.read([&] { return closed; }), kAnswerWithin);
+  const auto noticed_at = SteadyClock::now();
+  EXPECT_LT(noticed_at - watched_.read([&] { return closed; }), kNoticeTimeout);
 }
 
-// The link is broken just as the old process is told to end, and comes up again at once. What happened: a
-// process that had no link in that moment ended alone, as in a plain restart, and what it had out was given
-// up by the next one only after it had gone (soak, seed 605: message 678 timed out 1.1 s before it was given
-// up; no `hands over` in the log).
+// The link breaks just as the old process is asked to end, and is up again at once. Guards against a process
+// that drains without a handover in that case: the next process gave up its calls' messages only after it had
+// exited, one of them 1.1 s after its timeout (soak, seed 605).
 TEST_F(HandoverTest, ALinkThatIsLostForAMomentMakesNoRestartOfAnUpgrade) {
   add_silent_host("p1", 3, "plain");
   const fs::path broken = folder_ / "broken";
@@ -187,7 +185,7 @@
   start_next(new_);
   ASSERT_TRUE(wait_healthy(new_));
   std::ofstream(broken) << "now";
-  call(new_->second_address(), "BANS");  // the old process is asked: its reply is what breaks the link
+  call(new_->second_address(), "BANS");  // forwarded to the old process, whose reply breaks the link
   process_->signal(SIGTERM);
   std::this_thread::sleep_for(50ms);
   fs::remove(broken);
@@ -196,9 +194,9 @@
   EXPECT_NE(process_->log().find("gave over"), std::string::npos) << process_->log();
 }
 
-// The same for longer than the old process serves on for it: it ends alone by then, and hands over all the
-// same. What happened: it ended as in a plain restart, decided nothing from 1.5 s on, and a message whose
-// time was up then was told by the next process 0.8 s later (soak, seed 542: message 101).
+// The same for longer than the old process waits for the link: its drain has begun, and it still hands over.
+// Guards against a drain to the end as in a plain restart: it decides nothing after 1.5 s, so that a message
+// that expired then was reported by the next process only 0.8 s later (soak, seed 542).
 TEST_F(HandoverTest, ALinkThatComesUpWhileTheOldProcessEndsAloneMakesNoRestartOfAnUpgrade) {
   constexpr auto kLinkDown = 600ms;
   add_silent_host("p1", 3, "plain");
@@ -219,11 +217,11 @@
   EXPECT_NE(process_->log().find("gave over"), std::string::npos) << process_->log();
 }
 
-// The link breaks before the new process has said that it took over, which is held up for as long as the page
-// allows, twice. What happened: the calls were cut at once, and their messages told only when the new process
-// could read of it (soak, seeds 605 and 649).
+// The link breaks before the new process has reported its takeover, because that process is paused twice for
+// the longest allowed time. Guards against calls that are cut at once: their messages' notices had to wait
+// until the new process could read the results (soak, seeds 605 and 649).
 TEST_F(HandoverTest, ALinkThatIsLostAtTheHandOverCutsNoCallBeforeTheNextProcessCanTell) {
-  constexpr auto kTakesOverAfter = 250ms, kToldWithin = 150ms;
+  constexpr auto kTakeoverDelay = 250ms, kNoticeTimeout = 150ms;
   std::optional<SteadyClock::time_point> closed;
   add_host("p1", 3, "plain", [&](tcp::socket& socket, Request&) {
     while (!watched_.read([this] { return test_over_; }) && is_open(socket.native_handle())) {
@@ -235,18 +233,18 @@
   start_old(6000, 6000);
   ASSERT_EQ(submit("m", "refund", 3), 202U);
   ASSERT_TRUE(wait_delivered("m"));
-  take_what_is_given_over(folder_ / "state", process_);  // and breaks the link
-  std::this_thread::sleep_for(kTakesOverAfter);
+  receive_handover(folder_ / "state", process_);  // and breaks the link
+  std::this_thread::sleep_for(kTakeoverDelay);
   EXPECT_FALSE(watched_.read([&] { return closed.has_value(); }));
   StateLock lock(folder_ / "state");
   while (!lock.try_acquire()) std::this_thread::sleep_for(1ms);
   const auto taken_over = SteadyClock::now();
   ASSERT_TRUE(watched_.wait([&] { return closed.has_value(); }));
-  EXPECT_LT(watched_.read([&] { return *closed; }) - taken_over, kToldWithin);
+  EXPECT_LT(watched_.read([&] { return *closed; }) - taken_over, kNoticeTimeout);
 }
 
-// The old process is killed while another stands by: the lock on the folder is free before its connections
-// are closed. Not forced: the kernel's order decides.
+// The old process is killed while another one stands by: the state lock may be free before its connections
+// are closed. The order is up to the kernel, and the test does not force it.
 TEST_F(HandoverTest, WhatTheKilledProcessHadOutIsRepeatedOnceItsConnectionsAreClosed) {
   add_silent_host("p1", 3, "plain");
   add_silent_host("p2", 3, "plain");
@@ -259,8 +257,8 @@
   expect_repeated_after_calls_end("m");
 }
 
-// The configuration is read anew between the start of the new process and the hand-over: the old process
-// alone was told, and the new one has read the file before.
+// The configuration changes between the start of the new process and the handover. Only the old process gets
+// the reload signal; the new one has read the old file.
 TEST_F(HandoverTest, TheNewProcessAsksTheServiceThatTheOldOneWasToldOf) {
   add_silent_host("p1", 3, "plain");
   start_old(1000, 1000);
@@ -277,7 +275,7 @@
   EXPECT_TRUE(watched_.read([this] { return platform_requests_["first"].empty(); }));
 }
 
-// Its last message has an outcome, and the endpoint is gone from the list, before the call is over.
+// The endpoint is removed from the list, and the call's last message has its outcome, before the call ends.
 TEST_F(HandoverTest, AnEndpointThatIsGoneIsKnownUntilItsCallIsOver) {
   add_silent_host("p1", 3, "plain");
   start_old(500, 500);
@@ -289,7 +287,7 @@
   EXPECT_EQ(call(admin_address_, "HEALTH"), "ACK");
 }
 
-// The system has no room for the socket that successors connect to as the process begins to serve.
+// Creating the socket for successors fails at first, as the process begins to serve.
 TEST_F(HandoverTest, AProcessCanBeReplacedThoughItsSocketCouldNotBeMadeAtFirst) {
   add_silent_host("p1", 3, "plain");
   environment_["LD_PRELOAD"] = SHIM;
@@ -301,14 +299,14 @@
   EXPECT_TRUE(healthy(new_));
 }
 
-// A connection that comes up after the hand-over carries nothing: bans, waits and lists are told to the new
-// process alone.
+// A connection that is established after the handover must carry no call: only the new process learns of
+// disabled hosts, server backoffs and lists.
 TEST_F(HandoverTest, NothingNewLeavesAProcessThatHasGivenOver) {
   FullBacklog late;
   list_host("late", 3, "plain", late.address());
   start_old(2600, 2600);
   ASSERT_EQ(submit("m", "note", 3), 202U);
-  std::this_thread::sleep_for(100ms);  // it is connecting by now
+  std::this_thread::sleep_for(100ms);  // the call is connecting by now
   upgrade(process_, new_);
   EXPECT_EQ(call(new_->second_address(), "OFFLINE late"), "ACK");
   EXPECT_EQ(late.connections_with_bytes(2s), 0U);
--- a/tests/ready_test.cpp
+++ b/tests/ready_test.cpp
@@ -1,8 +1,9 @@
-// How soon a process is ready: the real program, started on journals that the relay's own class wrote.
+// Time until a restarted process is ready: the real program, started on journals that the Journal class
+// wrote.
 //
-// Sizes in MB of disk, for how many partners, and how many processes start at once come from READY_MB,
-// READY_PARTNERS and READY_PROCESSES, so that the figures of docs/recovery.md can be taken again; without
-// them they are small.
+// READY_MB sets the journal sizes in MB, READY_PARTNERS the number of destinations, and READY_PROCESSES the
+// number of processes that start at once, so that the figures of docs/recovery.md can be reproduced. The
+// defaults are small.
 #include <sstream>
 #include <thread>
 
@@ -12,9 +13,9 @@
 namespace myrtlegrade::test {
 namespace {
 
-std::string setting(const char* name, const char* otherwise) {
+std::string setting(const char* name, const char* fallback) {
   const char* value = ::getenv(name);
-  return value ? value : otherwise;
+  return value ? value : fallback;
 }
 
 std::vector<double> numbers(const std::string& text) {
@@ -24,28 +25,28 @@
   return all;
 }
 
-std::size_t partners() { return std::stoul(setting("READY_PARTNERS", "16")); }
+std::size_t destination_count() { return std::stoul(setting("READY_PARTNERS", "16")); }
 
 struct Written {
-  std::size_t messages = 0;  // still owed
-  double mb = 0;             // of the file
+  std::size_t messages = 0;  // not completed
+  double mb = 0;             // size of the file
 };
 
-// As full as a journal gets: with so many messages as it has room for, and then with as many records of ended
-// ones as it takes before it would be written anew.
+// Fills the journal as far as possible: with as many messages as it accepts, then with as many records of
+// completed ones as fit before a compaction.
 Written write_journal(const fs::path& folder, double disk_mb, std::size_t body) {
-  const auto most = static_cast<std::uint64_t>(disk_mb * 1e6);
-  Journal journal(folder, most);
+  const auto max_bytes = static_cast<std::uint64_t>(disk_mb * 1e6);
+  Journal journal(folder, max_bytes);
   const Timestamp now = read_clocks();
   const auto accept = [&](const std::string& id, std::size_t i) {
     journal.accept(
-        {id, "receipt", 2 + i % partners(), "key-of-" + id, std::string(body, 'b'), now + 60s, {}});
+        {id, "receipt", 2 + i % destination_count(), "key-of-" + id, std::string(body, 'b'), now + 60s, {}});
   };
   Written written;
   std::size_t unwritten = 0;
-  const auto flush = [&](std::size_t bytes) {  // each one goes through all that is owed
+  const auto flush = [&](std::size_t bytes) {  // each flush walks over all open messages
     unwritten += bytes;
-    if (unwritten < most / 50) return;
+    if (unwritten < max_bytes / 50) return;
     unwritten = 0;
     ASSERT_TRUE(journal.flush());
   };
@@ -55,17 +56,18 @@
     flush(body + 100);
   }
   EXPECT_TRUE(journal.flush());
-  // Anew at four times what matters, or at nine tenths of the room, with the new file beside it.
+  // A compaction starts at four times the live data, or at nine tenths of the disk space including the new
+  // file.
   const auto size = [&] { return static_cast<double>(fs::file_size(folder / "journal")); };
-  const double enough = std::min(3.8 * size(), 0.48 * disk_mb * 1e6);
-  std::vector<std::string> ended;
-  for (std::size_t i = 0; size() < enough; ++i) {
-    ended.push_back("ended-" + std::to_string(i));
-    accept(ended.back(), i);
-    journal.record_attempt(ended.back(), 0, {"h", "a", now});
-    if (ended.size() * body < most / 50) continue;
-    EXPECT_TRUE(journal.flush());  // what is ended before it is written leaves no record
-    for (const std::string& id : std::exchange(ended, {})) journal.complete(id);
+  const double target = std::min(3.8 * size(), 0.48 * disk_mb * 1e6);
+  std::vector<std::string> completed;
+  for (std::size_t i = 0; size() < target; ++i) {
+    completed.push_back("ended-" + std::to_string(i));
+    accept(completed.back(), i);
+    journal.record_attempt(completed.back(), 0, {"h", "a", now});
+    if (completed.size() * body < max_bytes / 50) continue;
+    EXPECT_TRUE(journal.flush());  // a message completed before it is written leaves no record
+    for (const std::string& id : std::exchange(completed, {})) journal.complete(id);
     EXPECT_TRUE(journal.flush());
   }
   written.mb = size() / 1e6;
@@ -74,13 +76,14 @@
 
 class ReadyTest : public RelayTest {
  protected:
-  void add_partners() {
-    for (std::size_t i = 0; i < partners(); ++i) {
+  void add_destinations() {
+    for (std::size_t i = 0; i < destination_count(); ++i) {
       add_host("h" + std::to_string(i), static_cast<int>(2 + i), "plain", silent());
     }
   }
-  // Seconds until it says 200 at the clients' address.
-  static double ready_within(std::optional<Process>& process, const fs::path& config, const fs::path& state) {
+  // Starts the process, and returns the seconds until its health check returns 200 at the clients' address.
+  static double seconds_until_ready(std::optional<Process>& process, const fs::path& config,
+                                    const fs::path& state) {
     const auto start = SteadyClock::now();
     process.emplace(PROGRAM,
                     std::map<std::string, std::string>{{"PROXY_CONFIG", config}, {"PROXY_STATE", state}});
@@ -99,7 +102,7 @@
 };
 
 TEST_F(ReadyTest, ItIsReadySoonOnAFullJournal) {
-  add_partners();
+  add_destinations();
   for (const std::size_t body : {100U, 16384U}) {
     for (const double mb : numbers(setting("READY_MB", "1,4"))) {
       const fs::path state = folder_ / ("state-" + std::to_string(body) + "-" + std::to_string(mb));
@@ -114,7 +117,7 @@
         changed["limits"].as_object()["disk_mb"] = mb;
         changed["settings"].as_object()["allowed"].as_object()["maxOpen"] = 2 * written.messages;
         std::ofstream(folder_ / "config.json") << json::serialize(changed);
-        const double seconds = ready_within(process_, folder_ / "config.json", copy);
+        const double seconds = seconds_until_ready(process_, folder_ / "config.json", copy);
         std::printf(
             "disk %.0f MB, bodies %zu B, %zu owed, journal %.1f MB, discovery %s: %.3f s, peak %.0f MB\n", mb,
             body, written.messages, written.mb, discovery, seconds, peak_mb(*process_));
@@ -127,7 +130,7 @@
 }
 
 TEST_F(ReadyTest, ManyRestartedAtOnceAreReadySoon) {
-  add_partners();
+  add_destinations();
   const auto count = static_cast<std::size_t>(std::stoul(setting("READY_PROCESSES", "4")));
   std::ofstream(folder_ / "config.json") << json::serialize(config());
   const fs::path full = folder_ / "full";
@@ -140,7 +143,7 @@
     for (std::size_t i = 0; i < count; ++i) {
       fs::copy(full, folder_ / std::to_string(i));
       starters.emplace_back([&, i] {
-        seconds[i] = ready_within(processes[i], folder_ / "config.json", folder_ / std::to_string(i));
+        seconds[i] = seconds_until_ready(processes[i], folder_ / "config.json", folder_ / std::to_string(i));
       });
     }
   }
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,5 +1,6 @@
-// What a power loss may leave of the journal and of the copies' file: cut at every file operation of a day,
-// each with several outcomes of what was not synced; and broken on purpose.
+// Recovery of the journal and of the copies' file after a power loss: at every file operation of a run, each
+// with several outcomes for unsynced data. Faults injected on purpose check that the tests detect a
+// violation.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -21,154 +22,154 @@
 using valedrum::recovery::Durability;
 using valedrum::recovery::FakeDisk;
 
-constexpr std::uint64_t kMost = 300'000;
+constexpr std::uint64_t kMaxBytes = 300'000;
 
-// What was told to the world by the moment at which the power went.
-struct Told {
-  std::set<std::string> taken, called, ended, handed_back;
+// The messages by the steps that were visible outside the process before the power loss.
+struct Visible {
+  std::set<std::string> accepted, called, completed, handed_back;
 };
 
-enum class Broken { nothing, sync_left_out, sync_error_ignored, told_before_sync };
+enum class Fault { none, sync_omitted, sync_error_ignored, accepted_before_sync };
 
 std::string number(int n) {
   std::string text(1, 'm');
   return text += std::to_string(n);
 }
 
-// Some hundred messages: taken, called, ended, handed back; the journal is written anew now and then.
-void play(FakeDisk& disk, Told& told, Broken broken) {
-  Journal journal(disk, kMost, Durability::power);
+// Runs some hundred messages through the journal: accepted, called, completed, handed back; with compactions.
+void run(FakeDisk& disk, Visible& visible, Fault fault) {
+  Journal journal(disk, kMaxBytes, Durability::power);
   const auto durable = [&] {
     if (!journal.flush()) return false;
-    if (broken == Broken::sync_left_out) return true;
+    if (fault == Fault::sync_omitted) return true;
     const bool synced = journal.sync_later()();
-    if (!synced && broken != Broken::sync_error_ignored) journal.mark_sync_failed();
-    return synced || broken == Broken::sync_error_ignored;
+    if (!synced && fault != Fault::sync_error_ignored) journal.mark_sync_failed();
+    return synced || fault == Fault::sync_error_ignored;
   };
   for (int n = 0; n < 120; ++n) {
     const std::string id = number(n);
     if (!journal.has_room(2000)) break;
     journal.accept({id, "collection", 7, "", std::string(1200, 'b'), {WallTime(5s)}, {}});
-    if (broken == Broken::told_before_sync) told.taken.insert(id);
+    if (fault == Fault::accepted_before_sync) visible.accepted.insert(id);
     if (!durable()) break;
-    told.taken.insert(id);
+    visible.accepted.insert(id);
     if (n % 3 == 0) {
       journal.record_attempt(id, 0, {"h", "z", {WallTime(1s)}});
       if (!durable()) break;
-      told.called.insert(id);
+      visible.called.insert(id);
     }
     if (n >= 5 && n % 2 == 0) {
-      const std::string over = number(n - 5);
+      const std::string completed = number(n - 5);
       if (n % 4 == 0) {
-        journal.complete(over);
-        told.ended.insert(over);
+        journal.complete(completed);
+        visible.completed.insert(completed);
         journal.flush();
       } else {
-        journal.complete_with_notice({over, true, 100ms});
+        journal.complete_with_notice({completed, true, 100ms});
         if (!durable()) break;
-        told.handed_back.insert(over);
+        visible.handed_back.insert(completed);
       }
     }
   }
 }
 
-// Empty where all that was told still holds.
-std::string trouble(FakeDisk& disk, const Told& told) {
-  Journal journal(disk, kMost, Durability::power);
-  std::set<std::string> there, attempted, owed;
+// Returns a description of the first visible step that the journal has lost; empty if there is none.
+std::string find_violation(FakeDisk& disk, const Visible& visible) {
+  Journal journal(disk, kMaxBytes, Durability::power);
+  std::set<std::string> found, attempted, notices;
   for (const StoredMessage& m : journal.take_messages()) {
-    there.insert(m.id);
+    found.insert(m.id);
     if (!m.attempts.empty()) attempted.insert(m.id);
   }
-  for (const Notice& n : journal.take_notices()) owed.insert(n.message);
-  for (const std::string& id : told.taken) {
-    if (!told.ended.contains(id) && !there.contains(id) && !owed.contains(id) &&
-        !told.handed_back.contains(id))
-      return id + " was promised, and is gone";
+  for (const Notice& n : journal.take_notices()) notices.insert(n.message);
+  for (const std::string& id : visible.accepted) {
+    if (!visible.completed.contains(id) && !found.contains(id) && !notices.contains(id) &&
+        !visible.handed_back.contains(id))
+      return id + " was accepted, but is lost";
   }
-  for (const std::string& id : told.called) {
-    if (there.contains(id) && !attempted.contains(id)) return id + " was called, and nothing says so";
+  for (const std::string& id : visible.called) {
+    if (found.contains(id) && !attempted.contains(id)) return id + " was called, but has no recorded attempt";
   }
-  for (const std::string& id : told.handed_back) {
-    if (there.contains(id)) return id + " is back with its client, and here too";
+  for (const std::string& id : visible.handed_back) {
+    if (found.contains(id)) return id + " was handed back to its client, but is still open here";
   }
   return "";
 }
 
 struct Explored {
-  std::uint64_t operations = 0, cuts = 0, broken = 0;
-  std::string first;
+  std::uint64_t operations = 0, power_losses = 0, violations = 0;
+  std::string first_violation;
 };
 
-Explored explore(Broken broken, DiskFaults faults = {}, bool until_broken = false) {
+Explored explore(Fault fault, DiskFaults faults = {}, bool stop_at_violation = false) {
   Explored all;
   {
-    FakeDisk whole;
-    Told told;
-    play(whole, told, Broken::nothing);
-    all.operations = whole.operations();
+    FakeDisk disk;
+    Visible visible;
+    run(disk, visible, Fault::none);
+    all.operations = disk.operations();
   }
-  for (std::uint64_t at = 1; at <= all.operations && !(until_broken && all.broken > 0); ++at) {
+  for (std::uint64_t at = 1; at <= all.operations && !(stop_at_violation && all.violations > 0); ++at) {
     for (std::uint32_t outcome = 0; outcome < 6; ++outcome) {
       FakeDisk disk;
       disk.faults = faults;
       disk.schedule_power_loss(at);
-      Told told;
+      Visible visible;
       try {
-        play(disk, told, broken);
+        run(disk, visible, fault);
       } catch (const FakeDisk::PowerLoss&) {
-      } catch (const std::system_error&) {  // it does not start on such a disk
+      } catch (const std::system_error&) {  // the journal can't be opened on such a disk
       }
       std::mt19937 engine(static_cast<unsigned>(at * 8 + outcome));
       disk.faults = {};
       disk.lose_power([&](std::uint32_t below) { return static_cast<std::uint32_t>(engine() % below); });
-      ++all.cuts;
-      const std::string what = trouble(disk, told);
-      if (what.empty()) continue;
-      if (++all.broken == 1) all.first = "operation " + std::to_string(at) + ": " + what;
+      ++all.power_losses;
+      const std::string violation = find_violation(disk, visible);
+      if (violation.empty()) continue;
+      if (++all.violations == 1) all.first_violation = "operation " + std::to_string(at) + ": " + violation;
     }
   }
   return all;
 }
 
 TEST(PowerLoss, NothingToldIsUndoneWhereverTheJournalIsCut) {
-  const Explored all = explore(Broken::nothing);
-  EXPECT_EQ(all.broken, 0U) << all.first;
+  const Explored all = explore(Fault::none);
+  EXPECT_EQ(all.violations, 0U) << all.first_violation;
   EXPECT_GT(all.operations, 300U);
-  std::cout << all.operations << " operations, " << all.cuts << " power losses\n";
+  std::cout << all.operations << " operations, " << all.power_losses << " power losses\n";
 }
 
 TEST(PowerLoss, AFailedSyncIsNotTakenForOneThatWorked) {
   for (const std::uint64_t n : {3, 10, 40}) {
     DiskFaults faults;
     faults.failing_sync = n;
-    const Explored all = explore(Broken::nothing, faults);
-    EXPECT_EQ(all.broken, 0U) << all.first;
+    const Explored all = explore(Fault::none, faults);
+    EXPECT_EQ(all.violations, 0U) << all.first_violation;
   }
 }
 
 TEST(PowerLoss, AFullDiskTakesNothingOn) {
   DiskFaults faults;
   faults.capacity_bytes = 40'000;
-  const Explored all = explore(Broken::nothing, faults);
-  EXPECT_EQ(all.broken, 0U) << all.first;
+  const Explored all = explore(Fault::none, faults);
+  EXPECT_EQ(all.violations, 0U) << all.first_violation;
 }
 
 TEST(PowerLoss, WhatIsBrokenOnPurposeIsSeen) {
-  EXPECT_GT(explore(Broken::sync_left_out, {}, true).broken, 0U);
-  EXPECT_GT(explore(Broken::told_before_sync, {}, true).broken, 0U);
-  DiskFaults lies;
-  lies.sync_is_noop = true;
-  EXPECT_GT(explore(Broken::nothing, lies, true).broken, 0U);
-  DiskFaults names;
-  names.directory_sync_is_noop = true;
-  EXPECT_GT(explore(Broken::nothing, names, true).broken, 0U);
+  EXPECT_GT(explore(Fault::sync_omitted, {}, true).violations, 0U);
+  EXPECT_GT(explore(Fault::accepted_before_sync, {}, true).violations, 0U);
+  DiskFaults sync_noop;
+  sync_noop.sync_is_noop = true;
+  EXPECT_GT(explore(Fault::none, sync_noop, true).violations, 0U);
+  DiskFaults directory_noop;
+  directory_noop.directory_sync_is_noop = true;
+  EXPECT_GT(explore(Fault::none, directory_noop, true).violations, 0U);
   DiskFaults error;
   error.failing_sync = 10;
-  EXPECT_GT(explore(Broken::sync_error_ignored, error, true).broken, 0U);
+  EXPECT_GT(explore(Fault::sync_error_ignored, error, true).violations, 0U);
 }
 
-// ---------------------------------------------------------------------------------- a folder that fails
+// ---------------------------------------------------------------------------------- failing state folder
 
 StoredMessage stored(const std::string& id) {
   return {id, "collection", 7, "", std::string(300, 'b'), {WallTime(5s)}, {}};
@@ -176,12 +177,12 @@
 
 std::set<std::string> found(FakeDisk& disk, Durability durability) {
   std::set<std::string> ids;
-  for (const StoredMessage& m : Journal(disk, kMost, durability).take_messages()) ids.insert(m.id);
+  for (const StoredMessage& m : Journal(disk, kMaxBytes, durability).take_messages()) ids.insert(m.id);
   return ids;
 }
 
-// Tries as the relay does, until the journal has tried the folder once more.
-bool flush_again(Journal& journal) {
+// Waits for the journal's retry interval and flushes again, as the relay does.
+bool retry_flush(Journal& journal) {
   std::this_thread::sleep_for(60ms);
   return journal.flush();
 }
@@ -192,20 +193,20 @@
                            return each.param == Durability::power ? "power" : "process";
                          });
 
-// An append leaves half of its bytes, and cutting them off fails too.
+// An append fails after half of its bytes, and so does the truncation of that half.
 TEST_P(FailingFolder, WhatIsTakenAfterItRecoversIsNotHiddenBehindHalfARecord) {
   FakeDisk disk;
   {
-    Journal journal(disk, kMost, GetParam());
+    Journal journal(disk, kMaxBytes, GetParam());
     journal.accept(stored("before"));
     ASSERT_TRUE(journal.flush());
     disk.faults.writes_fail = true;
     journal.accept(stored("meanwhile"));
     EXPECT_FALSE(journal.flush());
     EXPECT_FALSE(journal.has_room(100));
-    EXPECT_FALSE(flush_again(journal));
+    EXPECT_FALSE(retry_flush(journal));
     disk.faults.writes_fail = false;
-    EXPECT_TRUE(flush_again(journal));
+    EXPECT_TRUE(retry_flush(journal));
     EXPECT_TRUE(journal.has_room(100));
     journal.accept(stored("after"));
     EXPECT_TRUE(journal.flush());
@@ -213,47 +214,48 @@
   EXPECT_EQ(found(disk, GetParam()), (std::set<std::string>{"before", "meanwhile", "after"}));
 }
 
-// It was never promised, and its client comes again elsewhere.
+// The message was never acknowledged, and its client retries elsewhere.
 TEST_P(FailingFolder, WhatIsRefusedBeforeItIsWrittenIsNeverFound) {
   FakeDisk disk;
   {
-    Journal journal(disk, kMost, GetParam());
+    Journal journal(disk, kMaxBytes, GetParam());
     disk.faults.writes_fail = true;
     journal.accept(stored("refused"));
     EXPECT_FALSE(journal.flush());
     journal.complete("refused");
     disk.faults.writes_fail = false;
     journal.accept(stored("next"));
-    EXPECT_TRUE(flush_again(journal));
+    EXPECT_TRUE(retry_flush(journal));
   }
   EXPECT_EQ(found(disk, GetParam()), std::set<std::string>{"next"});
 }
 
-// The rename had worked by then, so that all that follows goes to the new file.
+// The rename has succeeded by then, so later writes go to the new file.
 TEST(Folder, AFailedSyncOfNamesBehindACompactionLosesNothing) {
   FakeDisk disk;
   {
-    Journal journal(disk, kMost, Durability::power);
+    Journal journal(disk, kMaxBytes, Durability::power);
     disk.faults.directory_sync_fails = true;
-    for (int n = 0; n < 400; ++n) {  // until it is written anew
+    for (int n = 0; n < 400; ++n) {  // until a compaction
       journal.accept(stored(number(n)));
       if (!journal.flush()) break;
       journal.complete(number(n));
     }
-    ASSERT_TRUE(journal.failing()) << "no compaction came";
+    ASSERT_TRUE(journal.failing()) << "no compaction happened";
     disk.faults.directory_sync_fails = false;
-    EXPECT_TRUE(flush_again(journal));
+    EXPECT_TRUE(retry_flush(journal));
     journal.accept(stored("after"));
     EXPECT_TRUE(journal.flush());
   }
   EXPECT_TRUE(found(disk, Durability::power).contains("after"));
 }
 
-// What it covered may be gone though a later sync succeeds: it is written once more, to a new file.
+// Data covered by a failed sync may be lost even if a later sync succeeds, so it is written again to a new
+// file.
 TEST(Folder, AFailedSyncIsMadeGoodByAFileThatIsWrittenAnew) {
   FakeDisk disk;
   {
-    Journal journal(disk, kMost, Durability::power);
+    Journal journal(disk, kMaxBytes, Durability::power);
     journal.accept(stored("covered"));
     ASSERT_TRUE(journal.flush());
     disk.faults.writes_fail = true;
@@ -262,7 +264,7 @@
     EXPECT_FALSE(journal.has_room(100));
     EXPECT_FALSE(journal.flush());
     disk.faults.writes_fail = false;
-    EXPECT_TRUE(flush_again(journal));
+    EXPECT_TRUE(retry_flush(journal));
     EXPECT_TRUE(journal.has_room(100));
   }
   disk.lose_power([](std::uint32_t) { return 0U; });
@@ -271,15 +273,15 @@
 
 // ------------------------------------------------------------------------------------ copies' file
 
-// A holder: what it has acknowledged is there, or it is another life, which knows nothing and claims nothing.
+// A replica must find everything that it acknowledged, or start with a new storage id and an empty state.
 TEST(PowerLoss, WhatAHolderAcknowledgedIsThereOrItIsAnotherOne) {
   const copies::GroupId group{"n1", 7};
-  copies::GroupConfig head;
-  head.members[0].name = "n1";
-  head.members[1].name = "n0";
-  head.members[2].name = "n2";
-  constexpr std::uint64_t kLife = 99;
-  std::uint64_t cuts = 0, kept = 0;
+  copies::GroupConfig config;
+  config.members[0].name = "n1";
+  config.members[1].name = "n0";
+  config.members[2].name = "n2";
+  constexpr std::uint64_t kStorageId = 99;
+  std::uint64_t power_losses = 0, kept = 0;
   for (std::uint64_t at = 1; at < 140; ++at) {
     for (std::uint32_t outcome = 0; outcome < 8; ++outcome) {
       FakeDisk disk;
@@ -287,7 +289,7 @@
       std::uint64_t acknowledged = 0, promised = 1;
       std::map<std::string, copies::Item> items;
       const auto snapshot = [&] {
-        std::string all = copies::format_record(kLife, "n0") + copies::group_record(group, head, 1) +
+        std::string all = copies::format_record(kStorageId, "n0") + copies::group_record(group, config, 1) +
                           copies::promise_record(group, promised, 0);
         for (const auto& [id, item] : items) all += copies::item_record(group, id, item, {});
         return all;
@@ -313,24 +315,24 @@
       }
       std::mt19937 engine(static_cast<unsigned>(at * 8 + outcome));
       disk.lose_power([&](std::uint32_t below) { return static_cast<std::uint32_t>(engine() % below); });
-      CopiesFile again(disk, "n0", 40'000, Durability::power, {});
-      const copies::StoredState stored = again.take();
-      ++cuts;
+      CopiesFile reopened(disk, "n0", 40'000, Durability::power, {});
+      const copies::StoredState stored = reopened.take();
+      ++power_losses;
       if (acknowledged == 0) continue;
-      ASSERT_EQ(stored.storage_id, kLife) << "operation " << at << ", outcome " << outcome;
+      ASSERT_EQ(stored.storage_id, kStorageId) << "operation " << at << ", outcome " << outcome;
       ++kept;
       EXPECT_GE(stored.groups.at(group).durable.promised_epoch, acknowledged + 1) << "operation " << at;
     }
   }
-  EXPECT_GT(kept, cuts / 2);
+  EXPECT_GT(kept, power_losses / 2);
 
-  // A bit that turned in what had been synced makes it another life.
+  // A flipped bit in synced data must lead to a new storage id.
   FakeDisk disk;
   {
     CopiesFile file(disk, "n0", 100'000, Durability::power, {});
     for (std::uint64_t n = 1; n <= 8; ++n) {
       ASSERT_TRUE(file.append(copies::promise_record(group, n + 1, 0), [&] {
-        return copies::format_record(kLife, "n0") + copies::group_record(group, head, 1);
+        return copies::format_record(kStorageId, "n0") + copies::group_record(group, config, 1);
       }));
       ASSERT_TRUE(file.sync_later()());
       file.synced(file.size());
--- a/tests/same_request_test.cpp
+++ b/tests/same_request_test.cpp
@@ -50,7 +50,7 @@
   }
   void upgrade() {
     const fs::path file = folder_ / "beside.json";
-    std::ofstream(file) << json::serialize(beside());
+    std::ofstream(file) << json::serialize(standby_config());
     std::map<std::string, std::string> environment = environment_;
     environment.insert({{"PROXY_CONFIG", file}, {"PROXY_STATE", folder_ / "state"}});
     new_.emplace(PROGRAM, environment);
--- a/tests/stream_faults_test.cpp
+++ b/tests/stream_faults_test.cpp
@@ -74,7 +74,7 @@
 TEST_F(ShortWriteTest, AHandOverGoesOn) {
   start_old();
   const fs::path file = folder_ / "beside.json";
-  std::ofstream(file) << json::serialize(beside());
+  std::ofstream(file) << json::serialize(standby_config());
   std::map<std::string, std::string> environment = environment_;
   environment.emplace("PROXY_CONFIG", file);
   environment.emplace("PROXY_STATE", folder_ / "state");
--- a/tests/upgrade_fixture.h
+++ b/tests/upgrade_fixture.h
@@ -1,4 +1,4 @@
-// Two processes that are one relay, for tests: the real program is started beside itself.
+// Fixture for tests of upgrades: two real processes of one relay, one active and one standby.
 #pragma once
 
 #include "relay_fixture.h"
@@ -12,15 +12,15 @@
     add_host("h2", 3, "plain", kAccept);
     start(with_admin_address());
   }
-  // The new process is told the addresses of the old one, but for its own second address.
-  json::object beside() const {
+  // Configuration of the new process: the addresses of the old one, except for an admin address of its own.
+  json::object standby_config() const {
     json::object changed = with_admin_address();
     changed["listen"] = address_;
     return changed;
   }
-  void start_beside(std::optional<Process>& process) {
-    const fs::path file = folder_ / "beside.json";
-    std::ofstream(file) << json::serialize(beside());
+  void start_standby(std::optional<Process>& process) {
+    const fs::path file = folder_ / "standby.json";
+    std::ofstream(file) << json::serialize(standby_config());
     process.emplace(PROGRAM, std::map<std::string, std::string>{{"PROXY_CONFIG", file},
                                                                 {"PROXY_STATE", folder_ / "state"}});
   }
@@ -39,7 +39,7 @@
     }
     return false;
   }
-  // Leaves so many calls of the host without an answer, the rest wait.
+  // Submits messages to a silent host: some are in calls without a response, the rest are queued.
   void fill(const std::string& prefix, const std::string& cls, int count) {
     for (int i = 0; i < count; ++i) ASSERT_EQ(submit(prefix + std::to_string(i), cls, 2), 202U);
   }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// Two processes, one relay: the real program is started beside itself and takes over.
+// Upgrades: a second process of the relay starts as standby and takes over from the first.
 #include "upgrade_fixture.h"
 
 namespace myrtlegrade::test {
@@ -7,7 +7,7 @@
 TEST_F(UpgradeTest, EachMessageIsDeliveredOnceAcrossAnUpgrade) {
   start_old();
   set_behaviour("h", silent());
-  fill("a", "refund", 12);  // some are out, some are held
+  fill("a", "refund", 12);  // some are in flight, some are queued
   boost::asio::io_context context;
   tcp::socket kept = connect(context, address_);
   boost::beast::flat_buffer buffer;
@@ -18,15 +18,15 @@
     return response;
   };
   EXPECT_EQ(exchange(message("k0", "note", 3)).result_int(), 202U);
-  start_beside(new_);
+  start_standby(new_);
   EXPECT_TRUE(healthy(new_));
   EXPECT_TRUE(healthy(process_));
   process_->signal(SIGTERM);
-  // A client of the old process is served while that ends, by the new one's decision.
+  // The old process still serves its clients' connections while it ends; the new process decides.
   const Response last = exchange(message("k1", "refund", 3));
   EXPECT_EQ(last.result_int(), 202U);
   EXPECT_EQ(submit("n0", "refund", 3), 202U);
-  EXPECT_EQ(submit("a0", "refund", 2), 202U) << "in hand already";
+  EXPECT_EQ(submit("a0", "refund", 2), 202U) << "already accepted";
   EXPECT_TRUE(wait_delivered("k1"));
   EXPECT_TRUE(wait_delivered("n0"));
   set_behaviour("h", kAccept);
@@ -45,12 +45,12 @@
   set_behaviour("h", silent());
   fill("a", "refund", 12);
   const std::size_t out = watched_.read([&] { return deliveries_.size(); });
-  start_beside(new_);
+  start_standby(new_);
   EXPECT_TRUE(healthy(new_));
   end(process_, SIGKILL);
   set_behaviour("h", kAccept);
   watched_.change([&] { released_ = true; });
-  // What was out may have run, and may not be repeated; what was held is delivered.
+  // Messages in flight may have run and must not be repeated; queued ones are delivered.
   ASSERT_TRUE(watched_.wait([&] { return deliveries_.size() + notices_.size() >= 12 + out; }));
   EXPECT_EQ(submit("m", "note", 2), 202U);
   ASSERT_TRUE(wait_delivered("m"));
@@ -59,25 +59,25 @@
 
 TEST_F(UpgradeTest, TheOldProcessGoesOnWhereTheNewOneIsKilledAndAnotherMayStandBy) {
   start_old();
-  start_beside(new_);
+  start_standby(new_);
   EXPECT_TRUE(healthy(new_));
   end(new_, SIGKILL);
   pass_marker("a", 2);
-  start_beside(new_);
+  start_standby(new_);
   EXPECT_TRUE(wait_healthy(new_));
   EXPECT_EQ(end(process_, SIGTERM), 0);
   pass_marker("b", 2);
   std::optional<Process> third;
-  start_beside(third);
+  start_standby(third);
   EXPECT_TRUE(wait_healthy(third));
   EXPECT_EQ(end(new_, SIGTERM), 0);
   pass_marker("c", 2);
 }
 
-// The one that stands by is stopped: nothing is given to it, and the old process ends as it would alone.
+// The standby process is stopped: the old process does not hand over, and drains as it would alone.
 TEST_F(UpgradeTest, AStalledNewProcessGetsNothing) {
   start_old();
-  start_beside(new_);
+  start_standby(new_);
   EXPECT_TRUE(healthy(new_));
   set_behaviour("h", silent());
   fill("a", "refund", 12);
@@ -88,7 +88,7 @@
   new_->signal(SIGCONT);
   pass_marker("m", 3);
   for (int i = 0; i < 12; ++i) EXPECT_LE(count_deliveries("a" + std::to_string(i)), 1U) << i;
-  ASSERT_TRUE(wait_delivered("a11"));  // it was held, and is in the journal that the new process has read
+  ASSERT_TRUE(wait_delivered("a11"));  // it was queued, and the new process read it from the journal
 }
 
 TEST_F(UpgradeTest, BansAndToldWaitsHoldAcrossIt) {
@@ -100,9 +100,9 @@
   });
   EXPECT_EQ(submit("w0", "note", 3), 202U);
   ASSERT_TRUE(wait_delivered("w0"));
-  start_beside(new_);
+  start_standby(new_);
   EXPECT_EQ(call(new_->second_address(), "OFFLINE nobody").substr(0, 3), "NAK");
-  EXPECT_EQ(call(new_->second_address(), "ONLINE h"), "ACK");  // the old process does it
+  EXPECT_EQ(call(new_->second_address(), "ONLINE h"), "ACK");  // handled by the old process
   EXPECT_EQ(call(new_->second_address(), "OFFLINE h"), "ACK");
   EXPECT_EQ(end(process_, SIGTERM), 0);
   set_behaviour("h2", kAccept);
@@ -113,14 +113,14 @@
   const auto at = [&](const std::string& host) {
     return watched_.read([&] { return std::ranges::count(deliveries_, host, &Delivery::host); });
   };
-  EXPECT_EQ(at("h2"), 1) << "told to wait for a minute";
+  EXPECT_EQ(at("h2"), 1) << "server backoff of a minute";
   EXPECT_EQ(at("h"), 0);
 }
 
 TEST_F(UpgradeTest, LeavingHoldsAcrossIt) {
   start_old();
   EXPECT_EQ(call(admin_address_, "LEAVE"), "ACK");
-  start_beside(new_);
+  start_standby(new_);
   EXPECT_TRUE(healthy(new_));
   EXPECT_EQ(end(process_, SIGTERM), 0);
   const auto health = [&] { return ask(address_, Request{http::verb::get, "/_health", 11}).result_int(); };
