--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -26,15 +26,15 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t kReadAtOnce = 64 << 10;  // bytes of the watch: they take a millisecond to read (ours)
-constexpr std::chrono::milliseconds kWatchAgain = 200ms;  // the agent that answers is on this machine
-// After lists that can't be used, doubled for each in a row: a long one takes much of a core to read. What
-// was to be told has still to come within 6 s of a watch that broke.
-constexpr std::chrono::milliseconds kWatchAgainMost = 3200ms;
-constexpr int kMostDoublings = 4;
-constexpr std::size_t kMostCleared = 1'000;  // entries of a list of changes whose memory is used again (ours)
-
-std::string host_of(const Endpoint& address) {
+constexpr std::size_t kReadBytes = 64 << 10;  // of the watch at once, which takes a millisecond to process
+constexpr std::chrono::milliseconds kWatchRetryDelay = 200ms;  // the answering agent runs on this machine
+// The delay doubles with each consecutive unusable list, up to this: a long list takes much of a core to
+// read. Changes must still arrive within 6 s of a watch that broke.
+constexpr std::chrono::milliseconds kMaxWatchRetryDelay = 3200ms;
+constexpr int kMaxDoublings = 4;
+constexpr std::size_t kMaxReusedEntries = 1'000;  // the memory of longer lists of changes is released
+
+std::string host_header(const Endpoint& address) {
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
@@ -50,11 +50,11 @@
 
 void Discovery::watch(std::int64_t from) {
   if (watch_) return;
-  versions_.set_held(from);
-  watch_again();
+  version_filter_.set_held(from);
+  open_watch();
 }
 
-void Discovery::watch_again() {
+void Discovery::open_watch() {
   watch_ = std::make_shared<beast::tcp_stream>(executor_);
   spawn(executor_, run_watch(watch_));
 }
@@ -62,28 +62,27 @@
 void Discovery::set_address(const Endpoint& address, std::int64_t from) {
   if (address == address_) return;
   address_ = address;
-  // The old service may go on for a while: nothing that it still says may be mixed with what the new one
-  // says.
-  if (const Stream old = std::exchange(watch_, nullptr)) old->close();
-  versions_.reset();
+  // The old service may continue for a while; its lists must not be mixed with those of the new one.
+  if (const Stream previous = std::exchange(watch_, nullptr)) previous->close();
+  version_filter_.reset();
   watch(from);
   notices_.set_address(address);
 }
 
 void Discovery::stop() {
   notices_.stop();
-  if (const Stream old = std::exchange(watch_, nullptr)) old->close();
+  if (const Stream previous = std::exchange(watch_, nullptr)) previous->close();
 }
 
 asio::awaitable<void> Discovery::run_watch(Stream stream) {
   WatchDeadline deadline(SteadyClock::now());
   co_await read_changes(stream, deadline);
-  if (watch_ != stream) co_return;  // another has taken its place
+  if (watch_ != stream) co_return;  // another watch has replaced it
   watch_ = nullptr;
-  if (versions_.needs_full_list()) co_return watch_again();
-  on_lost_(SteadyClock::now() - std::min(deadline.last_complete_at(),
-                                         versions_.behind_since().value_or(SteadyClock::time_point::max())),
-           std::min(kWatchAgain * (1 << std::min(spoilt_, kMostDoublings)), kWatchAgainMost));
+  if (version_filter_.needs_full_list()) co_return open_watch();
+  on_lost_(SteadyClock::now() - std::min(deadline.last_complete_at(), version_filter_.behind_since().value_or(
+                                                                          SteadyClock::time_point::max())),
+           std::min(kWatchRetryDelay * (1 << std::min(invalid_lists_, kMaxDoublings)), kMaxWatchRetryDelay));
 }
 
 asio::awaitable<void> Discovery::read_changes(Stream connection, WatchDeadline& deadline) {
@@ -91,66 +90,67 @@
   stream.expires_at(deadline.deadline());
   const auto [connect_error] = co_await stream.async_connect(address_, kAwait);
   if (connect_error || watch_ != connection) co_return;
-  const std::string from = std::to_string(versions_.begin_watch());
+  const std::string from = std::to_string(version_filter_.begin_watch());
   http::request<http::empty_body> request{http::verb::get, "/catalog/members?watch=1&from=" + from, 11};
-  request.set(http::field::host, host_of(address_));
+  request.set(http::field::host, host_header(address_));
   const std::string bytes = to_bytes(request);
   const auto write_error = co_await write_all(StreamUse::watch, stream, bytes);
   if (write_error) co_return;
   beast::flat_buffer buffer;
-  buffer.reserve(kReadAtOnce);
+  buffer.reserve(kReadBytes);
   http::response_parser<http::string_body> parser;
   parser.body_limit(boost::none);
   const auto [head_error, head] = co_await http::async_read_header(stream, buffer, parser, kAwait);
   if (head_error || parser.get().result() != http::status::ok) co_return;
-  // Between two pieces the loop turns to what else there is.
+  // Between two reads the event loop runs other work.
   catalog::ListReader reader;
-  bool good = true, open = true;
-  while (good && open && !parser.is_done()) {
-    stream.expires_at(std::min(deadline.deadline(), versions_.deadline()));
+  bool valid = true, open = true;
+  while (valid && open && !parser.is_done()) {
+    stream.expires_at(std::min(deadline.deadline(), version_filter_.deadline()));
     const auto [error, count] = co_await http::async_read_some(stream, buffer, parser, kAwait);
     if (watch_ != connection) break;
-    const std::string piece = std::exchange(parser.get().body(), {});
+    const std::string chunk = std::exchange(parser.get().body(), {});
     bool ended = false;
-    good = co_await take(reader, piece, connection, ended);
-    deadline.on_bytes(SteadyClock::now(), piece.size(), ended);
+    valid = co_await process_bytes(reader, chunk, connection, ended);
+    deadline.on_bytes(SteadyClock::now(), chunk.size(), ended);
     open = !error;
   }
   if (reader.entries().size() == 0) co_return;
-  if (good && reader.status() == catalog::ListReader::Status::needs_more) {
-    ++spoilt_;
+  if (valid && reader.status() == catalog::ListReader::Status::needs_more) {
+    ++invalid_lists_;
     std::cerr << "discovery: a list of the watch was cut after byte " << reader.bytes_consumed() << '\n';
   }
   release_in_slices(executor_, reader.take_entries());
 }
 
-// False: the list held may lack what one said that can't be read, or another watch counts by now.
-asio::awaitable<bool> Discovery::take(catalog::ListReader& reader, std::string_view bytes, Stream connection,
-                                      bool& ended) {
+// Processes the bytes of the watch. Returns false if a list is unreadable, after which the held list may lack
+// changes, or if another watch has replaced this one.
+asio::awaitable<bool> Discovery::process_bytes(catalog::ListReader& reader, std::string_view bytes,
+                                               Stream connection, bool& ended) {
   while (!bytes.empty()) {
     const auto status = read_watch(reader, bytes, ended);
     if (status == catalog::ListReader::Status::invalid) {
-      ++spoilt_;
+      ++invalid_lists_;
       std::cerr << "discovery: a list of the watch can't be read: " << reader.error() << '\n';
       co_return false;
     }
     if (status == catalog::ListReader::Status::needs_more) continue;
-    spoilt_ = 0;
-    if (may_take(reader.version())) {
+    invalid_lists_ = 0;
+    if (accepts_version(reader.version())) {
       for (bool more = on_list_(reader, true); more; more = on_list_(reader, false)) {
         co_await asio::post(executor_, asio::use_awaitable);
         if (watch_ != connection) co_return false;
       }
     }
-    if (reader.entries().size() > kMostCleared) release_in_slices(executor_, reader.take_entries());
+    if (reader.entries().size() > kMaxReusedEntries) release_in_slices(executor_, reader.take_entries());
     reader.reset();
   }
   co_return true;
 }
 
-bool Discovery::may_take(std::int64_t version) {
-  const bool was_behind = versions_.behind_since().has_value();
-  if (versions_.accept(SteadyClock::now(), version)) return true;
+bool Discovery::accepts_version(std::int64_t version) {
+  const bool was_behind = version_filter_.behind_since().has_value();
+  if (version_filter_.accept(SteadyClock::now(), version)) return true;
   if (!was_behind) {
     std::cerr << "discovery: a list of version " << version << " is older than the one held" << std::endl;
   }
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -1,4 +1,4 @@
-// The platform's side: the list of hosts, and the notices that end messages.
+// Client of the platform: watches discovery's list of endpoints and sends notices about undelivered messages.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -22,50 +22,51 @@
 
 class Discovery {
  public:
-  // Of a reader that is whole, whose entries may be taken from it. Called again, in the next turn of the
-  // loop, where it returns true: there is more of it to take.
+  // Receives a reader with a complete list; it may take the entries out of it. While it returns true it is
+  // called again in the next turn of the event loop, with `first` false, to process the rest.
   using OnList = std::function<bool(valedrum::catalog::ListReader&, bool first)>;
-  // It had been silent so long, and may be opened again after so long.
+  // Called when the watch has ended, with the time for which it had been silent and the delay after which the
+  // next one may be opened.
   using OnLost =
-      std::function<void(std::chrono::steady_clock::duration silent, std::chrono::milliseconds again)>;
+      std::function<void(std::chrono::steady_clock::duration silent, std::chrono::milliseconds retry_delay)>;
   using OnSettled = NoticeSender::OnSettled;
 
   Discovery(boost::asio::any_io_executor executor, Endpoint address, OnList on_list, OnLost on_lost,
             OnSettled on_settled);
 
-  // A watch on the changes after a version. It ends with on_lost; one that is running goes on.
+  // Opens a watch on the changes after a version, unless one is open. When it ends, on_lost is called.
   void watch(std::int64_t from);
 
-  // Watches and reports at another address from now on: a watch begins there at once, and notices that have
-  // no answer yet are sent there again.
+  // Switches to another address: a watch is opened there at once, and unanswered notices are sent there
+  // again.
   void set_address(const Endpoint& address, std::int64_t from);
 
-  // Watches and reports no more: another process does.
+  // Stops the watch and the notices; another process continues them.
   void stop();
 
-  // Sent again until the platform has taken it.
+  // Sends a notice, with retries until the platform has accepted it.
   void send_notice(Notice notice) { notices_.send(std::move(notice)); }
-  // Keeps a connection open ahead of notices.
+  // Keeps a connection open for future notices.
   void keep_notices_connected() { notices_.keep_connected(); }
   bool notices_pending() const { return notices_.pending(); }
 
  private:
   using Stream = std::shared_ptr<boost::beast::tcp_stream>;
 
-  void watch_again();
+  void open_watch();
   boost::asio::awaitable<void> run_watch(Stream stream);
   boost::asio::awaitable<void> read_changes(Stream stream, WatchDeadline& deadline);
-  boost::asio::awaitable<bool> take(valedrum::catalog::ListReader& reader, std::string_view bytes,
-                                    Stream connection, bool& ended);
-  bool may_take(std::int64_t version);
+  boost::asio::awaitable<bool> process_bytes(valedrum::catalog::ListReader& reader, std::string_view bytes,
+                                             Stream connection, bool& ended);
+  bool accepts_version(std::int64_t version);
 
   boost::asio::any_io_executor executor_;
   Endpoint address_;
   OnList on_list_;
   OnLost on_lost_;
-  int spoilt_ = 0;  // lists in a row that were cut or can't be read
-  ListVersionFilter versions_;
-  Stream watch_;  // the connection of the watch that counts; none: not watching
+  int invalid_lists_ = 0;  // consecutive lists that were truncated or unreadable
+  ListVersionFilter version_filter_;
+  Stream watch_;  // the connection of the current watch; null: no watch
   NoticeSender notices_;
 };
 
--- a/relay/endpoints.h
+++ b/relay/endpoints.h
@@ -1,10 +1,10 @@
-// The one owner of what the relay knows of endpoints: discovery's list as it stands, the numbers by which the
-// module knows them, and which calls go on to them. What the module is to be told of a change is added to its
+// The relay's view of endpoints: discovery's current list, the ids by which the decision module knows them,
+// and the number of calls in flight to each. Changes that the module has to learn of are appended to its
 // events.
 //
-// The list is a compact table. Only of awake destinations, which are those that the module has been told of,
-// a record is kept for each endpoint too. All are awake while the list has no more destinations than the
-// module keeps; of a longer one those are that messages came for, until the module puts them away.
+// The list is a compact table. A record per endpoint is kept only for active destinations, which are those
+// that the module knows. All destinations are active while the list has no more of them than the module
+// keeps; in a longer list, those that have received messages are, until the module evicts them.
 #pragma once
 
 #include <cstddef>
@@ -31,70 +31,74 @@
 
   struct Host {
     Endpoint address;
-    std::uint64_t cell = 0;
+    std::uint64_t cell = 0;  // its destination
     bool listed = false;
     bool running = false;
     std::string zone;
     std::uint32_t kind = 0;
-    bool member = false;                     // of awake_'s list of its cell
+    bool in_active_list = false;             // whether active_ lists it under its cell
     std::size_t attempts_in_flight = 0;      // attempts without an outcome
-    std::uint64_t unsent_cancellations = 0;  // so often was what is on its way to it called back
+    std::uint64_t unsent_cancellations = 0;  // how often its unsent calls were cancelled
   };
 
-  // All four outlive it. What an endpoint that drains or goes must not get any more is called back from
-  // `client`; one that the journal says is out by hand keeps its number.
+  // All arguments must outlive this object. Calls to an endpoint that drains or is removed are cancelled at
+  // `client` if they are not sent yet; an endpoint that `journal` lists as disabled keeps its id.
   Endpoints(vetchhinge::drill::Dialect& dialect, const vetchhinge::Settings& settings, const Journal& journal,
             HostClient& client);
 
   // ------------------------------------------------------------------------------------- the list
-  // In place of what was known; `kind` says to the module where it comes from. run_cleanup_slice() has work
-  // then.
+  // Replaces the whole list; `kind` tells the module where it comes from. run_cleanup_slice() has to be
+  // called afterwards.
   void replace_list(std::int64_t version, valedrum::catalog::EndpointTable list,
                     vetchhinge::HostList::Kind kind, Events& events);
-  // Costs the same at any size of the list. Many are taken in parts, the first of them with `first`; true: to
-  // be called again for the rest, with nothing else taken in between. The version is the new one from the
-  // last part on: until then all of them may have to be asked for again.
+  // Applies a list of changes; the cost does not depend on the size of the whole list. Long lists are applied
+  // in parts: the first call has `first` set, and while the result is true, the call must be repeated for the
+  // rest with no other update in between. The version changes with the last part only, so that an interrupted
+  // update is requested again.
   bool apply_changes(std::int64_t version, const valedrum::catalog::EndpointTable& changes, bool first,
                      Events& events);
-  // A part of what a whole list leaves to do, of about a millisecond. False: nothing is left.
+  // Does about a millisecond of the work that replace_list() leaves. Returns false when none is left.
   bool run_cleanup_slice();
 
   const valedrum::catalog::EndpointTable& list() const { return list_; }
   std::int64_t version() const { return version_; }
-  bool has_seen_endpoints() const { return known_; }  // some endpoint is, or was
+  bool has_seen_endpoints() const { return has_seen_endpoints_; }  // now or earlier
 
-  // Listed, or lately: one whose endpoints are all being replaced is still a destination.
+  // Returns whether the destination is listed, or was until recently: while all endpoints of a destination
+  // are being replaced it is still a destination.
   bool is_destination(std::uint64_t cell) const;
 
-  // ------------------------------------------------------------------------------ awake destinations
-  // To be called before the module gets a message for it.
+  // ------------------------------------------------------------------------------ active destinations
+  // Makes a destination active. Must be called before the module receives a message for it.
   void activate(std::uint64_t cell, Events& events);
-  // That of an endpoint which another process knew.
+  // Activates the destination of an endpoint that another process knew.
   void activate(HostId id, Events& events);
-  // The module has dropped all that it kept of it.
+  // Makes a destination inactive after the module has dropped its state.
   void evict(std::uint64_t cell);
 
   // ------------------------------------------------------------------------------- single endpoints
   const Host& at(HostId id) const { return hosts_.at(id); }
   const std::string& name(HostId id) const { return dialect_.hosts.name(static_cast<std::uint32_t>(id)); }
   bool is_known(const std::string& name) const;
+  // Returns the id of an endpoint; assigns one if it has none.
   HostId host_id(const std::string& name) { return HostId{dialect_.hosts.number(name)}; }
-  // Where its ban was lifted: the number of one that is gone, or sleeps, is not needed any more.
+  // Releases the id of an endpoint that is gone or inactive, after the operator has enabled it again.
   void release_name(const std::string& name);
 
   void on_call_started(HostId id) { ++hosts_.at(id).attempts_in_flight; }
   void on_call_ended(HostId id);
-  // A call of an earlier process, which may have gone to one that is not listed any more. Its destination is
-  // awake.
+  // Adds a call of a predecessor, possibly to an endpoint that is no longer listed. Its destination must be
+  // active.
   HostId add_predecessor_call(const std::string& name, std::uint64_t cell, const std::string& zone);
 
-  // What has not begun to go out must not any more: to one, or, after a told wait, to all that share it.
+  // Cancels calls that are not sent yet: to one endpoint, or to all that share its limit group, as after a
+  // wait hint.
   void cancel_unsent(HostId id);
   void cancel_unsent_in_limit_group(HostId id);
 
  private:
-  // Destinations that have left the list, the last kMost of them.
-  class Gone {
+  // The destinations that have left the list most recently, up to a maximum number.
+  class RecentlyGone {
    public:
     void add(std::uint64_t cell);
     bool contains(std::uint64_t cell) const { return cells_.contains(cell); }
@@ -103,41 +107,43 @@
     std::unordered_set<std::uint64_t> cells_;
     std::deque<std::uint64_t> order_;
   };
-  struct Replaced {  // a list whose destinations are being looked through, up to `next`, or that is given
-                     // back
+  // An old list. Its entries up to `next` were scanned for destinations that are gone; after that its memory
+  // is released in slices.
+  struct ReplacedList {
     valedrum::catalog::EndpointTable list;
     valedrum::catalog::Slot next = 0;
-    bool looked_through = false;
+    bool scanned = false;
   };
-  struct Change {  // of one list: what the module is to be told, and what is to be done behind it
-    vetchhinge::HostList told;
-    std::vector<HostId> ran, named;
-    std::vector<HostId> out_by_hand;  // under a new number
+  // The effects of one list: the update for the module and what has to be done after it.
+  struct Change {
+    vetchhinge::HostList update;
+    std::vector<HostId> were_running, affected;
+    std::vector<HostId> disabled_by_operator;  // under a new id
   };
 
-  bool has_room() const;
+  bool all_fit() const;
   std::optional<std::uint32_t> kind_of(const valedrum::catalog::Entry& entry) const;
-  bool serves(const valedrum::catalog::EndpointTable& list, std::uint64_t cell) const;
-  void take_change(const valedrum::catalog::Entry& changed, Change& change);
-  void tell_gone(HostId id, Host& host, Change& change);
-  void tell_all(std::uint64_t cell, Change& change);
-  void tell(const valedrum::catalog::Entry& entry, Change& change);
+  bool has_usable_endpoint(const valedrum::catalog::EndpointTable& list, std::uint64_t cell) const;
+  void apply_change(const valedrum::catalog::Entry& changed, Change& change);
+  void add_gone_entry(HostId id, Host& host, Change& change);
+  void add_entries_of(std::uint64_t cell, Change& change);
+  void add_entry(const valedrum::catalog::Entry& entry, Change& change);
   void finish(Change change, Events& events);
-  void forget_if_gone(HostId id);
+  void remove_if_unused(HostId id);
 
   vetchhinge::drill::Dialect& dialect_;
   const vetchhinge::Settings& settings_;
   const Journal& journal_;
   HostClient& client_;
   valedrum::catalog::EndpointTable list_;
-  std::deque<Replaced> replaced_;
-  Gone gone_;
-  std::unordered_map<std::uint64_t, std::vector<HostId>> awake_;  // by cell, with their endpoints
-  std::unordered_map<HostId, Host> hosts_;                        // of those
-  std::vector<valedrum::catalog::Slot> slots_;                    // only to be used again
+  std::deque<ReplacedList> replaced_lists_;
+  RecentlyGone recently_gone_;
+  std::unordered_map<std::uint64_t, std::vector<HostId>> active_;  // endpoints by cell
+  std::unordered_map<HostId, Host> hosts_;              // of active destinations, or with calls in flight
+  std::vector<valedrum::catalog::Slot> scratch_slots_;  // reused buffer
   valedrum::catalog::Slot next_change_ = 0;
   std::int64_t version_ = 0;
-  bool known_ = false;
+  bool has_seen_endpoints_ = false;
 };
 
 }  // namespace myrtlegrade
--- a/relay/host_client.cpp
+++ b/relay/host_client.cpp
@@ -27,18 +27,20 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t kMostBody = 64 << 10;
-constexpr std::size_t kMostHead = 16 << 10;
-constexpr std::size_t kReadSize = 4 << 10;
-constexpr int kMostInterim = 16;     // 1xx answers ahead of the final one
-constexpr auto kRestWithin = 500ms;  // an answer that has begun comes whole within this, or is spoilt
-constexpr auto kSettle = 20ms;       // what belongs to no call has arrived so long after an answer
-constexpr auto kReapEvery = 250ms;
-constexpr auto kOnTheWay =
-    50ms;  // for what leaves at the last moment, until the host's machine has it (ours)
-// Idle connections are closed at this share of the time after which the host closes them: a request that
-// crosses the host's close is a reset, and may then count as run.
-constexpr double kIdleShare = 0.9;
+constexpr std::size_t kMaxBodyBytes = 64 << 10;
+constexpr std::size_t kMaxHeadBytes = 16 << 10;
+constexpr std::size_t kReadBytes = 4 << 10;
+constexpr int kMaxInterimAnswers = 16;  // 1xx answers before the final one
+// An answer that has begun must be complete within this time; otherwise it counts as invalid.
+constexpr auto kAnswerTimeout = 500ms;
+// Stray bytes behind an answer have arrived this long after it.
+constexpr auto kSettleTime = 20ms;
+constexpr auto kIdleCheckInterval = 250ms;
+// Time for a request that is sent at its write deadline to reach the host's kernel.
+constexpr auto kArrivalGrace = 50ms;
+// Idle connections are closed at this share of the host's idle timeout: a request that crosses the host's
+// close is reset, and then has to count as possibly run.
+constexpr double kIdleTimeoutShare = 0.9;
 
 Duration since(SteadyTime start) {
   return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - start);
@@ -66,11 +68,11 @@
       limits_(limits),
       on_result_(std::move(on_result)),
       on_call_end_(std::move(on_call_end)),
-      reap_timer_(executor_) {
-  spawn(executor_, reap());
+      idle_timer_(executor_) {
+  spawn(executor_, close_expired_idle());
 }
 
-// Calls that are out end with it, as by a kill.
+// Calls in flight end abruptly, as if the process had been killed.
 HostClient::~HostClient() {
   for (const auto& call : calls_) call->close(CallEnd::cut);
 }
@@ -81,21 +83,22 @@
   std::size_t size = 2;
   for (CallItem& item : items) {
     const std::size_t share = bulk_item_size(*item.payload);
-    if (!parts.back().empty() && size + share > kMostBody) {
+    if (!parts.back().empty() && size + share > kMaxBodyBytes) {
       parts.emplace_back();
       size = 2;
     }
     size += share;
     parts.back().push_back(std::move(item));
   }
-  parts_[number] = parts.size();
+  open_parts_[number] = parts.size();
   for (std::vector<CallItem>& part : parts) start(number, host, address, std::move(part));
 }
 
 void HostClient::start(std::uint64_t number, HostId host, const Endpoint& address,
                        std::vector<CallItem> items) {
-  // Descriptors are bounded: idle connections make room, then what has no room is not sent.
-  if (calls_.size() + idle_count_ >= limits_.max_connections) drop_longest_idle();
+  // The number of descriptors is limited: idle connections are closed first; a call that still has no
+  // descriptor is not sent.
+  if (calls_.size() + idle_count_ >= limits_.max_connections) close_longest_idle();
   auto call = std::make_shared<Call>(executor_);
   call->number = number;
   call->host = host;
@@ -104,20 +107,20 @@
   call->items = std::move(items);
   if (calls_.size() >= limits_.max_connections) {
     asio::post(executor_, [this, call] {
-      report_rest(*call, Result::not_sent);
-      end(*call, CallEnd::withheld);
+      report_remaining(*call, Result::not_sent);
+      report_end(*call, CallEnd::withheld);
     });
     return;
   }
   call->connect_deadline = call->started + limits_.connect_timeout;
   calls_.insert(call);
   spawn(executor_, run(call));
-  spawn(executor_, keep_time(call));
+  spawn(executor_, enforce_timeouts(call));
 }
 
 void HostClient::cancel_unsent(HostId host) {
   for (const auto& call : calls_) {
-    if (call->host != host || call->connected) continue;
+    if (call->host != host || call->committed) continue;
     call->withheld = true;
     call->close(CallEnd::withheld);
   }
@@ -125,22 +128,22 @@
 
 void HostClient::cancel_all_unsent() {
   for (const auto& call : all_calls()) {
-    if (!call->connected) cut(*call, Result::not_sent, CallEnd::withheld);
+    if (!call->committed) abort(*call, Result::not_sent, CallEnd::withheld);
   }
 }
 
 void HostClient::abort_all() {
   for (const auto& call : all_calls()) {
-    cut(*call, call->connected ? Result::cancelled : Result::not_sent, CallEnd::cut);
+    abort(*call, call->committed ? Result::cancelled : Result::not_sent, CallEnd::cut);
   }
 }
 
-// Its coroutines find it closed and reported when they go on.
-void HostClient::cut(Call& call, Result result, CallEnd why) {
-  call.withheld = !call.connected;
+// The coroutines of the call find it closed and reported when they resume.
+void HostClient::abort(Call& call, Result result, CallEnd why) {
+  call.withheld = !call.committed;
   call.close(why);
-  report_rest(call, result);
-  end(call, why);
+  report_remaining(call, result);
+  report_end(call, why);
 }
 
 void HostClient::close_idle(HostId host) {
@@ -161,18 +164,19 @@
 }
 
 asio::awaitable<void> HostClient::run(std::shared_ptr<Call> call) {
-  // No co_await in a condition: GCC 12 builds code for it that crashes.
+  // No co_await inside a condition: GCC 12 generates code for it that crashes.
   const bool connected = co_await connect(*call);
   if (connected) co_await write(*call);
   if (call->written) co_await read_answer(*call);
-  // The host begins a call when its last byte has come; what was not written to the end never ran. An answer
-  // that can't be read is a broken one: it may have run, and says nothing of the host's load.
+  // A host begins a call when its last byte arrives, so a call that was not written completely never ran.
+  // After an unreadable answer the call may have run, and the answer has no information about the host's
+  // load.
   const Result unanswered = call->withheld  ? Result::not_sent
                             : call->written ? Result::reset
                                             : Result::connect_failed;
-  if (!call->answered) call->close(call->connected ? CallEnd::broken : CallEnd::not_connected);
-  report_rest(*call, unanswered);
-  end(*call, call->answered ? CallEnd::answered : call->why);
+  if (!call->answered) call->close(call->committed ? CallEnd::broken : CallEnd::not_connected);
+  report_remaining(*call, unanswered);
+  report_end(*call, call->answered ? CallEnd::answered : call->end_reason);
   call->finished = true;
   call->timer.cancel();
   if (call->reusable) keep_idle(*call);
@@ -185,9 +189,9 @@
   if (!call.closed) call.connection = take_idle(call);
   if (call.connection) {
     call.used = {true, since(call.connection->idle_since)};
-    // Bytes that a host sends behind its answer may still be on their way, and would answer this call.
-    // Waiting for them takes no longer than a new connection.
-    asio::steady_timer settled(executor_, call.connection->idle_since + kSettle);
+    // Bytes that the host sent after its last answer may still be in transit and would be taken for the
+    // answer to this call. Waiting for them takes no longer than opening a connection.
+    asio::steady_timer settled(executor_, call.connection->idle_since + kSettleTime);
     co_await settled.async_wait(kAwait);
     if (!call.closed && call.connection->stale()) call.connection = nullptr;
   }
@@ -201,32 +205,33 @@
     ++opened_;
     boost::system::error_code ignored;
     call.connection->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    // What is closed with a request on its way, or by the end of this process, takes that back: the kernel
-    // would go on to bring it to a host that reads late or is cut off, after it was given up. A connection
-    // that is only dropped, as idle ones are, still ends in order (boost::asio sees to that).
+    // Closing the socket, or the end of this process, discards unsent bytes with a reset. Otherwise the
+    // kernel would keep delivering an abandoned request to a host that reads late or is unreachable for a
+    // while. When a socket object is merely destroyed, as for idle connections, boost::asio still closes it
+    // gracefully.
     call.connection->socket.set_option(asio::socket_base::linger(true, 0), ignored);
   }
   co_return !call.closed;
 }
 
-// A host begins a call with its last byte, so a connection that breaks before that has run nothing. On the
-// others it can't be known, and work that may not be repeated is lost. What was dropped while it lay idle,
-// what a host or something between resets as it comes up or as the request comes, shows within a round trip
-// of the first bytes: the last one waits for that. It covers no break after it, nor drops that stay silent,
-// and costs each call that time in its slot.
-asio::awaitable<bool> HostClient::prove(Call& call, const std::string& bytes) {
+// Sends all bytes of the request but the last and waits for the connection to break. A host begins a call
+// with its last byte, so a connection that breaks before that has run nothing; after it this cannot be known,
+// and work that may not be repeated is lost. A connection that was dropped while idle, or that the host or a
+// middlebox resets at its start or at the request, breaks within a round trip of the first bytes. This
+// detects no later break and no silent drop, and each call occupies its slot for the time of the wait.
+asio::awaitable<bool> HostClient::verify_connection(Call& call, const std::string& bytes) {
   const std::shared_ptr<Connection> connection = call.connection;
   const auto error = co_await write_all(StreamUse::calls, connection->socket, bytes);
   if (error) co_return false;
   asio::steady_timer limit(executor_, limits_.verification_time);
-  const auto waits = std::make_shared<bool>(true);
-  limit.async_wait([connection, waits](boost::system::error_code aborted) {
+  const auto waiting = std::make_shared<bool>(true);
+  limit.async_wait([connection, waiting](boost::system::error_code aborted) {
     boost::system::error_code ignored;
-    if (!aborted && *waits) connection->socket.cancel(ignored);
+    if (!aborted && *waiting) connection->socket.cancel(ignored);
   });
   (void)co_await connection->socket.async_wait(asio::socket_base::wait_read, kAwait);
-  *waits = false;
-  co_return !call.closed && connection->open();
+  *waiting = false;
+  co_return !call.closed && connection->is_open();
 }
 
 asio::awaitable<void> HostClient::write(Call& call) {
@@ -234,64 +239,64 @@
   if (std::ranges::any_of(call.items, &CallItem::verify_connection)) {
     const std::string last(1, request.back());
     request.pop_back();
-    const bool stands = co_await prove(call, request);
-    if (!stands) co_return;
+    const bool verified = co_await verify_connection(call, request);
+    if (!verified) co_return;
     request = last;
   }
   const vetchhinge::Time write_deadline =
       std::ranges::min(call.items, {}, &CallItem::write_deadline).write_deadline;
   const auto too_late = [write_deadline] { return steady_time() > write_deadline; };
   const bool allowed = !too_late() && (!limits_.before_last_byte || limits_.before_last_byte(call.items));
-  if (!allowed || too_late()) {  // recording it may have taken time
+  if (!allowed || too_late()) {  // before_last_byte may have taken some time
     call.withheld = true;
     call.close(CallEnd::withheld);
     co_return;
   }
-  call.connected = true;
+  call.committed = true;
   const std::shared_ptr<Connection> connection = call.connection;
   const auto error = co_await write_all(StreamUse::calls, connection->socket, request);
   call.written = !error;
   if (!call.written) co_return;
   if (write_deadline < vetchhinge::Time::max()) {
-    call.arrive_by = SteadyTime(write_deadline.time_since_epoch()) + kOnTheWay;
+    call.arrival_deadline = SteadyTime(write_deadline.time_since_epoch()) + kArrivalGrace;
   }
-  call.timer.cancel();  // what ran out of time while it was being written is out all the same
+  call.timer.cancel();  // a deadline may have passed during the write, and the new arrival deadline applies
 }
 
 asio::awaitable<bool> HostClient::read_some(Call& call) {
   Connection& connection = *call.connection;
-  const auto space = connection.buffer.prepare(kReadSize);
-  const auto [error, came] = co_await connection.socket.async_read_some(space, kAwait);
-  const std::size_t count = error ? connection.read_rest(space) : came;
+  const auto space = connection.buffer.prepare(kReadBytes);
+  const auto [error, received] = co_await connection.socket.async_read_some(space, kAwait);
+  const std::size_t count = error ? connection.read_rest(space) : received;
   if (count == 0) co_return false;
   connection.buffer.commit(count);
-  if (!std::exchange(call.begun, true)) {
-    call.rest_deadline = std::chrono::steady_clock::now() + kRestWithin;
-    call.timer.cancel();  // another moment counts from now on
+  if (!std::exchange(call.answer_begun, true)) {
+    call.answer_deadline = std::chrono::steady_clock::now() + kAnswerTimeout;
+    call.timer.cancel();  // the answer deadline applies from now on
   }
   co_return true;
 }
 
-// Leaves unreported what the answer does not tell, or tells in a form that can't be relied on.
+// Leaves items unreported for which there is no complete and valid answer.
 asio::awaitable<void> HostClient::read_answer(Call& call) {
   boost::beast::flat_buffer& buffer = call.connection->buffer;
-  for (int interim = 0; interim <= kMostInterim; ++interim) {
-    const auto head_came = [&] { return view(buffer).find("\r\n\r\n") != std::string_view::npos; };
+  for (int interim = 0; interim <= kMaxInterimAnswers; ++interim) {
+    const auto has_head = [&] { return view(buffer).find("\r\n\r\n") != std::string_view::npos; };
     bool more = true;
-    while (more && !head_came() && buffer.size() < kMostHead) more = co_await read_some(call);
-    // For one message the first line counts, also if nothing behind it can be read.
+    while (more && !has_head() && buffer.size() < kMaxHeadBytes) more = co_await read_some(call);
+    // For a single message a status line of 200 is enough, even if nothing after it can be read.
     const bool single_delivered = call.items.size() == 1 && has_ok_status_line(view(buffer));
     http::response_parser<http::string_body> parser;
-    parser.body_limit(kMostBody);
-    parser.header_limit(kMostHead);
+    parser.body_limit(kMaxBodyBytes);
+    parser.header_limit(kMaxHeadBytes);
     parser.eager(true);
     if (single_delivered) {
       boost::system::error_code unreadable;
       http::response_parser<http::empty_body> head;
       head.put(buffer.data(), unreadable);
-      answered(call, 200, {}, head.get());
+      process_answer(call, 200, {}, head.get());
     }
-    if (!head_came()) co_return;
+    if (!has_head()) co_return;
     boost::system::error_code error;
     while (!parser.is_done()) {
       buffer.consume(parser.put(buffer.data(), error));
@@ -299,34 +304,35 @@
       if (parser.is_done()) break;
       more = co_await read_some(call);
       if (more) continue;
-      parser.put_eof(error);  // the end of the connection may be the end of the body
+      parser.put_eof(error);  // the body may be delimited by the end of the connection
       if (error || !parser.is_done()) co_return;
     }
     const unsigned status = parser.get().result_int();
-    if (status == 101) co_return;  // nobody asked for another protocol
+    if (status == 101) co_return;  // no protocol switch was requested
     if (status / 100 == 1) continue;
     const bool each = call.items.size() > 1 && status == 200;
     if (each && read_bulk_states(parser.get().body()).empty()) co_return;
     call.answered = true;
-    if (!single_delivered) answered(call, status, parser.get().body(), parser.get());
-    // A connection that brings more than the answer is of no further use.
+    if (!single_delivered) process_answer(call, status, parser.get().body(), parser.get());
+    // A connection with bytes beyond the answer is not reused.
     call.reusable = parser.keep_alive() && call.connection->socket.is_open() && buffer.size() == 0;
     co_return;
   }
 }
 
-void HostClient::answered(Call& call, unsigned status, const std::string& body, const http::fields& head) {
+void HostClient::process_answer(Call& call, unsigned status, const std::string& body,
+                                const http::fields& head) {
   const Duration wait = read_wait_hint(head);
   const auto load = limits_.reads_limit_reports ? read_limit_report(head) : std::nullopt;
   const bool each = call.items.size() > 1 && status == 200;
   const auto states = each ? read_bulk_states(body) : decltype(read_bulk_states(body)){};
   for (std::size_t i = 0; i < call.items.size(); ++i) {
     CallResult result = result_of(status);
-    // Turned away for want of a slot of this relay's own: that says nothing of the host.
+    // The relay exceeded its own slots: that is no information about the host's load.
     if (status == 503 && is_own_slot_limit(head)) result.result = Result::not_sent;
     if (each) {
       const auto found = states.find(call.items[i].payload->id);
-      // One that the answer doesn't name may have run.
+      // A message that the answer does not name may have run.
       result = result_of(found == states.end() ? std::string_view("failed") : found->second);
     }
     result.wait_hint = wait;
@@ -343,46 +349,47 @@
   on_result_(call.host, call.items[item], result);
 }
 
-void HostClient::report_rest(Call& call, Result result) {
+void HostClient::report_remaining(Call& call, Result result) {
   for (std::size_t i = 0; i < call.items.size(); ++i) report(call, i, {result, false, {}, {}});
 }
 
-void HostClient::end(Call& call, CallEnd end) {
-  if (std::exchange(call.told_over, true)) return;
-  const auto parts = parts_.find(call.number);
+void HostClient::report_end(Call& call, CallEnd end) {
+  if (std::exchange(call.end_reported, true)) return;
+  const auto parts = open_parts_.find(call.number);
   if (--parts->second > 0) return;
-  parts_.erase(parts);
+  open_parts_.erase(parts);
   on_call_end_(call.number, end);
 }
 
-// When something is due next, and whether anything is waited for still.
-HostClient::Due HostClient::next_due(const Call& call, SteadyTime now) const {
-  Due due{call.rest_deadline, call.begun};
-  for (std::size_t i = 0; i < call.items.size() && !call.begun; ++i) {
+// Returns the next deadline of the call, and whether an item still waits for its result.
+HostClient::NextTimeout HostClient::next_timeout(const Call& call, SteadyTime now) const {
+  NextTimeout timeout{call.answer_deadline, call.answer_begun};
+  for (std::size_t i = 0; i < call.items.size() && !call.answer_begun; ++i) {
     if (call.item_deadline(i) <= now) continue;
-    due.at = std::min(due.at, call.item_deadline(i));
-    due.one_waits = due.one_waits || !call.reported[i];
+    timeout.at = std::min(timeout.at, call.item_deadline(i));
+    timeout.any_waiting = timeout.any_waiting || !call.reported[i];
   }
-  return due;
+  return timeout;
 }
 
 void HostClient::report_timed_out(Call& call, SteadyTime now) {
-  if (call.begun || !call.written) return;
+  if (call.answer_begun || !call.written) return;
   for (std::size_t i = 0; i < call.items.size(); ++i) {
     if (call.item_deadline(i) <= now) report(call, i, {Result::timed_out, false, {}, {}});
   }
 }
 
-// Each message has a time-out of its own; the call goes on for those that still wait. The last one's is told
-// once the connection is closed.
-asio::awaitable<void> HostClient::keep_time(std::shared_ptr<Call> call) {
-  while (!call->finished && !call->told_over) {
+// Enforces the timeouts of a call. Each message has its own; the call continues for those that still wait.
+// The timeout of the last one is reported after the connection is closed.
+asio::awaitable<void> HostClient::enforce_timeouts(std::shared_ptr<Call> call) {
+  while (!call->finished && !call->end_reported) {
     const SteadyTime now = std::chrono::steady_clock::now();
-    const Due due = next_due(*call, now);
-    const bool never_up = !call->connected && call->connect_deadline <= now;
-    const bool too_late = call->arrive_by <= now && call->connection->on_the_way();
-    if (call->arrive_by <= now) call->arrive_by = SteadyTime::max();
-    if (never_up || too_late || due.at <= now || due.at == SteadyTime::max() || !due.one_waits) {
+    const NextTimeout timeout = next_timeout(*call, now);
+    const bool connect_timed_out = !call->committed && call->connect_deadline <= now;
+    const bool not_arrived = call->arrival_deadline <= now && call->connection->has_unacknowledged_bytes();
+    if (call->arrival_deadline <= now) call->arrival_deadline = SteadyTime::max();
+    if (connect_timed_out || not_arrived || timeout.at <= now || timeout.at == SteadyTime::max() ||
+        !timeout.any_waiting) {
       call->close(CallEnd::timed_out);
       report_timed_out(*call, now);
       if (limits_.after_results) limits_.after_results();
@@ -390,8 +397,8 @@
     }
     report_timed_out(*call, now);
     if (limits_.after_results) limits_.after_results();
-    const SteadyTime next = std::min(due.at, call->arrive_by);
-    call->timer.expires_at(call->connected ? next : std::min(next, call->connect_deadline));
+    const SteadyTime next = std::min(timeout.at, call->arrival_deadline);
+    call->timer.expires_at(call->committed ? next : std::min(next, call->connect_deadline));
     co_await call->timer.async_wait(kAwait);
   }
 }
@@ -399,15 +406,16 @@
 std::shared_ptr<HostClient::Connection> HostClient::take_idle(const Call& call) {
   const auto found = idle_.find(call.host);
   if (found == idle_.end()) return nullptr;
-  const Duration most = std::ranges::min(call.items, {}, &CallItem::max_connection_idle).max_connection_idle;
+  const Duration max_idle =
+      std::ranges::min(call.items, {}, &CallItem::max_connection_idle).max_connection_idle;
   std::shared_ptr<Connection> taken;
   auto& connections = found->second;
   while (!taken && !connections.empty()) {
-    // The newest that has settled, else the one that will have first.
-    const auto settled = [](const auto& c) { return since(c->idle_since) >= kSettle; };
+    // Takes the most recently used connection that has settled, or else the one that settles first.
+    const auto settled = [](const auto& c) { return since(c->idle_since) >= kSettleTime; };
     const auto newest = std::ranges::find_if(connections.rbegin(), connections.rend(), settled);
     const auto best = newest == connections.rend() ? connections.begin() : std::prev(newest.base());
-    if (since((*best)->idle_since) > most) break;  // another call may still use it, and the rest are older
+    if (since((*best)->idle_since) > max_idle) break;  // another call may use it; the others are older
     auto connection = std::move(*best);
     connections.erase(best);
     --idle_count_;
@@ -425,7 +433,7 @@
   ++idle_count_;
 }
 
-void HostClient::drop_longest_idle() {
+void HostClient::close_longest_idle() {
   const auto longest =
       std::ranges::min_element(idle_, {}, [](const auto& host) { return host.second.front()->idle_since; });
   if (longest == idle_.end()) return;
@@ -434,15 +442,15 @@
   --idle_count_;
 }
 
-asio::awaitable<void> HostClient::reap() {
-  const auto most = std::chrono::duration_cast<Duration>(kIdleShare * limits_.server_idle_timeout);
+asio::awaitable<void> HostClient::close_expired_idle() {
+  const auto max_idle = std::chrono::duration_cast<Duration>(kIdleTimeoutShare * limits_.server_idle_timeout);
   while (true) {
-    reap_timer_.expires_after(kReapEvery);
-    const auto [error] = co_await reap_timer_.async_wait(kAwait);
+    idle_timer_.expires_after(kIdleCheckInterval);
+    const auto [error] = co_await idle_timer_.async_wait(kAwait);
     if (error) co_return;
     for (auto at = idle_.begin(); at != idle_.end();) {
       idle_count_ -= std::erase_if(at->second, [&](const std::shared_ptr<Connection>& c) {
-        return since(c->idle_since) >= most || c->stale();
+        return since(c->idle_since) >= max_idle || c->stale();
       });
       at = at->second.empty() ? idle_.erase(at) : std::next(at);
     }
--- a/relay/host_client_call.h
+++ b/relay/host_client_call.h
@@ -1,4 +1,4 @@
-// A connection to a host and a call that travels on it, as HostClient keeps them; for its own source alone.
+// Private implementation types of HostClient: a connection to a host, and a call on it.
 #pragma once
 
 #include <linux/sockios.h>
@@ -25,16 +25,17 @@
 struct HostClient::Connection {
   explicit Connection(const boost::asio::any_io_executor& executor) : socket(executor) {}
 
-  // Closed by the host, or with bytes that answer nothing.
-  bool stale() { return !open() || waiting_bytes() > 0; }
+  // Returns whether the connection is closed or holds bytes that belong to no call.
+  bool stale() { return !is_open() || peek_byte() > 0; }
 
-  bool open() {
-    const ssize_t waiting = waiting_bytes();
+  bool is_open() {
+    const ssize_t waiting = peek_byte();
     return waiting > 0 || (waiting < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
   }
 
-  // None and an error: nothing has come, or the connection is broken. 0: its end has come.
-  ssize_t waiting_bytes() {
+  // Peeks at the next received byte. Returns 1 if there is one, 0 at the end of the stream, and -1 with errno
+  // set if nothing has been received or the connection is broken.
+  ssize_t peek_byte() {
     char byte = 0;
     ssize_t waiting = 0;
     do {
@@ -43,16 +44,16 @@
     return waiting;
   }
 
-  // After a read that failed: what had come before the connection broke is still there, and counts. 0:
-  // nothing.
+  // Reads what was received before the connection broke; used after a read has failed. Returns the number of
+  // bytes.
   std::size_t read_rest(boost::asio::mutable_buffer space) {
     if (!socket.is_open()) return 0;
     const ssize_t count = ::recv(socket.native_handle(), space.data(), space.size(), MSG_DONTWAIT);
     return count > 0 ? static_cast<std::size_t>(count) : 0;
   }
 
-  // Something of what was written has not come to the host's machine yet, as far as this one knows.
-  bool on_the_way() {
+  // Returns whether the host's kernel has not yet acknowledged all bytes that were written.
+  bool has_unacknowledged_bytes() {
     int bytes = 0;
     return ::ioctl(socket.native_handle(), SIOCOUTQ, &bytes) == 0 && bytes > 0;
   }
@@ -67,16 +68,15 @@
   explicit Call(const boost::asio::any_io_executor& executor) : timer(executor) {}
 
   SteadyTime item_deadline(std::size_t i) const { return SteadyTime(items[i].deadline.time_since_epoch()); }
-  // The first reason counts.
+  // Closes the connection; the first reason is kept.
   void close(CallEnd reason) {
     boost::system::error_code ignored;
-    if (!std::exchange(closed, true)) why = reason;
+    if (!std::exchange(closed, true)) end_reason = reason;
     if (connection) connection->socket.close(ignored);
   }
 
-  // Nobody has been told yet that it was over, or why its connection was closed.
-  bool told_over = false;
-  CallEnd why = CallEnd::broken;
+  bool end_reported = false;
+  CallEnd end_reason = CallEnd::broken;
 
   std::uint64_t number = 0;
   vetchhinge::HostId host{};
@@ -87,17 +87,19 @@
   SteadyTime connect_deadline{};
   std::shared_ptr<Connection> connection;
   boost::asio::steady_timer timer;
-  vetchhinge::ConnectionUsed used;  // by now
-  bool connected = false;           // too late to withhold it: the last byte goes out
-  bool written = false;             // the last byte is out: from now on it may have run
-  bool begun = false;               // something has come back
-  bool withheld = false;            // must not go out any more
-  bool closed = false;              // nobody keeps its time any more: no connection may be opened for it
-  // What is spoilt need not end, and would hold its slot until the time-out.
-  SteadyTime rest_deadline = SteadyTime::max();
-  SteadyTime arrive_by = SteadyTime::max();  // what had to leave by a moment
-  bool answered = false;                     // the answer is read whole
-  bool reusable = false;  // the answer is read whole and the connection may carry another call
+  vetchhinge::ConnectionUsed used;
+  bool committed = false;     // the last byte is being sent: too late to cancel the call as unsent
+  bool written = false;       // the last byte was sent: the call may have run
+  bool answer_begun = false;  // the first bytes of the answer have arrived
+  bool withheld = false;      // the call was cancelled and must not be sent
+  bool closed = false;        // timeouts are no longer enforced: no connection may be opened for the call
+  // Applies once the answer has begun. Without it an invalid answer that never ends would hold its slot until
+  // the message's timeout.
+  SteadyTime answer_deadline = SteadyTime::max();
+  // When the host's kernel must have acknowledged a request that had a write deadline.
+  SteadyTime arrival_deadline = SteadyTime::max();
+  bool answered = false;  // the answer was read completely
+  bool reusable = false;  // the answer was read completely, and the connection may carry another call
   bool finished = false;
 };
 
--- a/relay/host_list.h
+++ b/relay/host_list.h
@@ -1,4 +1,4 @@
-// Discovery's list of endpoints, as the program's parts give it to each other.
+// Types for discovery's list of endpoints, shared by the parts of the relay.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,12 +12,13 @@
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
+// A full list of endpoints and its version.
 struct HostListSnapshot {
   std::int64_t version = 0;
   valedrum::catalog::EndpointTable entries;
 };
 
-// `field` is named in the std::invalid_argument that is thrown for text that is no "address:port".
+// Parses "address:port". Throws std::invalid_argument that names `field` if the text has another form.
 Endpoint parse_endpoint(std::string_view text, std::string_view field);
 
 Endpoint to_endpoint(const valedrum::catalog::Address& address);
--- a/relay/host_protocol.cpp
+++ b/relay/host_protocol.cpp
@@ -42,8 +42,8 @@
 }  // namespace
 
 std::size_t bulk_item_size(const Payload& payload) {
-  constexpr std::size_t kFrame = 48;  // the names of the fields, quotes, padding
-  return payload.id.size() + payload.key.size() + payload.body.size() * 4 / 3 + kFrame;
+  constexpr std::size_t kFieldOverhead = 48;  // field names, quotes and base64 padding
+  return payload.id.size() + payload.key.size() + payload.body.size() * 4 / 3 + kFieldOverhead;
 }
 
 std::string make_request(const Endpoint& address, const std::vector<CallItem>& items,
@@ -51,10 +51,10 @@
   http::request<http::string_body> request{http::verb::post, "/inbox", 11};
   request.set(http::field::host, address.address().to_string() + ":" + std::to_string(address.port()));
   if (!via.empty()) request.set(http::field::via, "1.1 " + via);
-  const auto left = std::ranges::max(items, {}, &CallItem::deadline).deadline - steady_time();
-  request.set(
-      "X-Timeout-Ms",
-      std::to_string(std::chrono::floor<std::chrono::milliseconds>(std::max(left, Duration(1ms))).count()));
+  const auto time_left = std::ranges::max(items, {}, &CallItem::deadline).deadline - steady_time();
+  request.set("X-Timeout-Ms",
+              std::to_string(
+                  std::chrono::floor<std::chrono::milliseconds>(std::max(time_left, Duration(1ms))).count()));
   if (items.size() == 1) {
     const Payload& payload = *items.front().payload;
     request.set("X-Request-ID", payload.id);
@@ -77,9 +77,9 @@
   const std::string_view text(found->value().data(), found->value().size());
   double ms = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), ms);
-  constexpr double kMost = 86'400'000;  // a day: what is longer is no wait that a relay outlives
+  constexpr double kMaxWaitMs = 86'400'000;  // one day
   if (error != std::errc{} || !(ms > 0)) return {};
-  return Duration(static_cast<Duration::rep>(std::min(ms, kMost) * 1000));
+  return Duration(static_cast<Duration::rep>(std::min(ms, kMaxWaitMs) * 1000));
 }
 
 bool is_own_slot_limit(const http::fields& head) { return head["X-Over-Slots"] == "1"; }
@@ -142,7 +142,7 @@
     const json::value* id = entry->if_contains("id");
     const json::value* state = entry->if_contains("state");
     if (id && id->is_string() && state && state->is_string()) {
-      // Named twice with different ends it may have run.
+      // A message listed twice with different states may have run.
       const auto [first, added] =
           states.try_emplace(std::string(id->as_string()), std::string(state->as_string()));
       if (!added && first->second != state->as_string()) first->second = "failed";
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -26,7 +26,7 @@
 namespace {
 
 // Shares of the descriptors. Most go to clients, who open a connection for every request that finds none
-// free; hosts get the rest without what discovery, files, the second address and closing connections need.
+// free; hosts get the rest less what discovery, files, the admin address and closing connections need.
 constexpr double kClientShare = 0.54;
 constexpr double kHostShare = 0.43;
 constexpr double kIdleHostShare = 0.27;
@@ -251,8 +251,7 @@
   return open.attempts < config_.settings.max_attempts && !may_not_repeat;
 }
 
-// A connection may open, or be verified, after the message has been completed: then the message must not be
-// sent.
+// A connection may open, or be verified, after its message has been completed: nothing may be sent then.
 bool Relay::may_be_sent(const CallItem& item) const {
   const auto found = open_.find(item.message);
   if (found == open_.end() || found->second.completed || found->second.completion_pending) return false;
--- a/relay/watch_deadline.h
+++ b/relay/watch_deadline.h
@@ -1,7 +1,9 @@
-// When a watch on the list has to be given up and opened anew, and which of its lists may be taken. Fed with
-// time: no sockets, no clock. Whatever became of calls before, a change counts as told 6 s after discovery
-// had it and could be reached; what a watch misses that has fallen silent, 6 s after it fell silent (the
-// standing page). Both spans here, the pause that follows and one answer have to fit in that.
+// Decides when a watch on discovery's list must be abandoned and reopened, and which lists it accepts.
+// Receives the time as an argument and uses no sockets and no clock.
+//
+// Whatever happened to earlier calls, a change must be known within 6 s after discovery had it and was
+// reachable, and what a silent watch misses, within 6 s after it fell silent. Both timeouts here, the pause
+// that follows and one answer have to fit into that.
 #pragma once
 
 #include <chrono>
@@ -11,73 +13,74 @@
 
 namespace myrtlegrade {
 
-// The time that one watch has left. It is renewed by what is whole, a list or an empty line, and not by
-// bytes: one that drips them, or stops in the middle of a list, is as silent as one that says nothing. So
-// that a long list is not cut for its length, each further `kProgressBytes` of its bytes renews the time as
-// well: a list of up to that size comes within one span or not at all, a longer one has one span for each
-// `kProgressBytes`, and no list has more than the reader's longest allows.
+// The deadline of one watch. It is extended by complete elements, a list or an empty line, and not by bytes:
+// a watch that trickles bytes or stops in the middle of a list counts as silent. So that a long list is not
+// cut off for its length, each further `kProgressBytes` bytes of it extend the deadline as well. A list of up
+// to that size must arrive within one timeout; a longer one has one timeout for each `kProgressBytes`, and
+// its length is limited by the reader.
 class WatchDeadline {
  public:
   using Time = std::chrono::steady_clock::time_point;
   using Duration = std::chrono::steady_clock::duration;
 
-  // From the call to the first end of a list or of an empty line, connecting and the head in it. Who answers
-  // is an agent on this machine, at once, or a service that works through calls in turn and gives up by
-  // itself before (ours).
+  // From the request to the first complete list or empty line, including the connection and the header. The
+  // peer is an agent on this machine that answers at once, or a service that processes requests in turn and
+  // gives up by itself earlier.
   static constexpr Duration kAnswerTimeout = std::chrono::seconds(3);
-  // From one end to the next: an empty line comes every 2 s, and one may be late or lost (ours).
+  // Between complete elements: an empty line is sent every 2 s, and one may be late or lost.
   static constexpr Duration kSilenceTimeout = std::chrono::seconds(4);
-  static constexpr std::size_t kProgressBytes = 1 << 20;  // bytes: 256 KiB a second at the slowest (ours)
+  static constexpr std::size_t kProgressBytes = 1 << 20;  // at least 256 KiB/s
 
   explicit WatchDeadline(Time called) : last_complete_at_(called), deadline_(called + kAnswerTimeout) {}
 
-  // Bytes of the answer have come and been worked through by `now`; `ended`: with them a list or an empty
-  // line came to its end.
+  // Records that bytes of the answer were received and processed by `now`; `ended` is set if a list or an
+  // empty line was completed with them.
   void on_bytes(Time now, std::size_t bytes, bool ended);
 
   Time deadline() const { return deadline_; }
-  // The last end, or the call: what was said after this may have been missed.
+  // Returns when the last list or empty line was complete, or else when the watch was opened. Changes after
+  // that may have been missed.
   Time last_complete_at() const { return last_complete_at_; }
 
  private:
   Time last_complete_at_;
   Time deadline_;
-  std::size_t unfinished_ = 0;  // bytes since the last end, or since they renewed the time
+  std::size_t unfinished_ = 0;  // bytes since the deadline was last extended
 };
 
-// Which lists are taken, over all watches. One of a lower version than the list held is old: taken, it would
-// send calls to endpoints that drain, or that are gone. So it is passed over, and so are the changes that
-// lead up to the version held; what goes on from there is taken. But a service that was started anew may
-// count anew, and refused for ever it would be told to nobody: if it has not come up to the version held
-// within `kMaxTimeBehind`, or ends the watch before, it is asked at once, and once more, for the whole list,
-// and that answer is taken whatever its version. The span is short, as it comes on top of all pauses: an old
-// list that the service does not stand by is kept out, and one that counts anew is told within the 6 s.
+// Decides which lists are accepted, across all watches. A list with a lower version than the held one is out
+// of date; accepting it would send calls to endpoints that drain or are gone. Such a list is skipped, and so
+// are the changes up to the held version; later ones are accepted. But a service that was restarted may count
+// its versions from the start again, and its lists must not be rejected forever. If the service has not
+// reached the held version within `kMaxTimeBehind`, or ends the watch before that, the full list is requested
+// once more, at once, and accepted whatever its version. The time is short because it adds to all other
+// pauses: an old list that the service does not confirm is rejected, and restarted versions are accepted
+// within the 6 s.
 class ListVersionFilter {
  public:
   using Time = WatchDeadline::Time;
-  static constexpr WatchDeadline::Duration kMaxTimeBehind = std::chrono::milliseconds(400);  // (ours)
+  static constexpr WatchDeadline::Duration kMaxTimeBehind = std::chrono::milliseconds(400);
 
   explicit ListVersionFilter(std::int64_t held = 0) : held_(held) {}
   void set_held(std::int64_t version) { held_ = version; }
-  // Another service speaks from now on: how long the one before has been behind says nothing of it.
+  // Forgets that the service was behind, when another service is used from now on.
   void reset() { *this = ListVersionFilter(held_); }
 
-  // A watch is opened: the version after which it is to bring the changes, 0 for the whole list.
+  // Returns the version after which a new watch requests changes; 0 requests the full list.
   std::int64_t begin_watch();
-  // Whether a list of this version is to be taken; then it is the one held.
+  // Returns whether a list of this version is accepted; it is then the held version.
   bool accept(Time now, std::int64_t version);
-  // When the watch that is open has to end, so that another brings the whole list.
+  // Returns when the open watch has to end so that the next one requests the full list.
   Time deadline() const { return needs_full_list() ? *behind_since_ + kMaxTimeBehind : Time::max(); }
-  // Whether that is to be opened at once when this one ends.
+  // Returns whether the next watch requests the full list and must be opened at once.
   bool needs_full_list() const { return behind_since_ && !requested_full_list_; }
-  // Since then lists have been passed over, if that is the case.
+  // Returns since when lists have been skipped as out of date, if they are.
   std::optional<Time> behind_since() const { return behind_since_; }
 
  private:
   std::int64_t held_ = 0;
   std::optional<Time> behind_since_;
-  bool requested_full_list_ =
-      false;  // the watch that is open was asked for the whole list, as the service has been behind
+  bool requested_full_list_ = false;  // by the open watch, because the service had been behind
 };
 
 }  // namespace myrtlegrade
--- a/relay/watch_reader.h
+++ b/relay/watch_reader.h
@@ -1,5 +1,5 @@
-// The bytes of a watch: lists, on a line of their own or indented over many, with empty lines between them as
-// long as nothing changes.
+// Parses the byte stream of a watch: lists, each on one line or indented over several, separated by empty
+// lines that are sent as long as nothing changes.
 #pragma once
 
 #include <string_view>
@@ -8,8 +8,8 @@
 
 namespace myrtlegrade {
 
-// Takes bytes off the front, up to the end of the list that they belong to. `ended` is set where an empty
-// line or a list came to its end. Whole: it has to be taken, and next() called, before there is more to read.
+// Consumes bytes from the front, at most to the end of the current list. Sets `ended` if an empty line or a
+// list was completed. After `complete` the caller must process the list and call reset() before it reads on.
 valedrum::catalog::ListReader::Status read_watch(valedrum::catalog::ListReader& reader,
                                                  std::string_view& bytes, bool& ended);
 
--- a/tests/discovery_script.h
+++ b/tests/discovery_script.h
@@ -1,4 +1,5 @@
-// What a stand-in for discovery does with one call, piece by piece: played on virtual time and on sockets.
+// Scripts for a fake discovery service: the steps of its answer to one request, with all faults that the
+// tests use. They are played on virtual time and on sockets.
 #pragma once
 
 #include <algorithm>
@@ -13,13 +14,13 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-struct Piece {
-  enum class What { half_head, head, unavailable, body, reset };
-  Milliseconds after{};  // the piece before, or the call
-  What what = What::body;
+struct Step {
+  enum class Action { half_head, head, unavailable, body, reset };
+  Milliseconds after{};  // since the previous step, or since the request
+  Action action = Action::body;
   std::string bytes{};
 };
-using Script = std::vector<Piece>;  // behind its last piece the connection stays open, and silent
+using Script = std::vector<Step>;  // after the last step the connection stays open and silent
 
 enum class Fault {
   refused,
@@ -27,20 +28,20 @@
   half_head,
   head_alone,
   half_list,
-  half_then_blanks,
-  dripped,
-  dripped_blanks,
+  half_list_then_newlines,
+  slow_bytes,
+  slow_spaces,
   unavailable,
   reset_in_list,
   stale_alive,
   stale_silent,
-  spoilt,
+  invalid_json,
   listed_then_silent,
 };
-constexpr int kFaults = 14;
+constexpr int kFaultCount = 14;
 
-// A list of all that is numbered from `first` to `last`; one endpoint's zone bears what could be taken for
-// the structure.
+// Returns a list of the endpoints `first` to `last`. Their zone contains characters that could be mistaken
+// for JSON structure.
 inline std::string list_text(std::int64_t version, bool whole, int first, int last, bool indented) {
   namespace json = boost::json;
   const std::string end = indented ? "\n    " : "";
@@ -66,63 +67,65 @@
   return from + static_cast<int>(random() % static_cast<std::uint64_t>(to - from + 1));
 }
 
-// The text in pieces of any size, a few milliseconds apart.
-inline void add_cut(Script& script, Random& random, const std::string& text, Milliseconds after) {
+// Appends the text in chunks of random sizes, a few milliseconds apart.
+inline void add_chunks(Script& script, Random& random, const std::string& text, Milliseconds after) {
   for (std::size_t at = 0; at < text.size();) {
     const std::size_t count = std::min<std::size_t>(draw(random, 1, 400), text.size() - at);
     script.push_back(
-        {at == 0 ? after : Milliseconds(draw(random, 0, 3)), Piece::What::body, text.substr(at, count)});
+        {at == 0 ? after : Milliseconds(draw(random, 0, 3)), Step::Action::body, text.substr(at, count)});
     at += count;
   }
 }
 
-// `list`: what it would have said; `stale`: an older whole one.
-inline Script faulty(Fault fault, Random& random, const std::string& list, const std::string& stale) {
-  using What = Piece::What;
-  const auto some = [&](const std::string& text) {
+// Returns the script of a faulty answer. `list` is the correct list, `stale` an older full list.
+inline Script faulty_script(Fault fault, Random& random, const std::string& list, const std::string& stale) {
+  using Action = Step::Action;
+  const auto prefix_of = [&](const std::string& text) {
     return text.substr(0, draw(random, 1, static_cast<int>(text.size()) - 3));
   };
-  const Piece head{Milliseconds(draw(random, 0, 20)), What::head};
+  const Step head{Milliseconds(draw(random, 0, 20)), Action::head};
   Script script;
   switch (fault) {
     case Fault::refused:
-      return {{Milliseconds(1), What::reset}};
+      return {{Milliseconds(1), Action::reset}};
     case Fault::silent:
       return {};
     case Fault::half_head:
-      return {{Milliseconds(draw(random, 0, 900)), What::half_head}};
+      return {{Milliseconds(draw(random, 0, 900)), Action::half_head}};
     case Fault::unavailable:
-      return {{Milliseconds(draw(random, 0, 900)), What::unavailable}};
+      return {{Milliseconds(draw(random, 0, 900)), Action::unavailable}};
     case Fault::head_alone:
-      return {{Milliseconds(draw(random, 0, 2500)), What::head}};
+      return {{Milliseconds(draw(random, 0, 2500)), Action::head}};
     case Fault::half_list:
-      return {head, {Milliseconds(draw(random, 0, 2500)), What::body, some(list)}};
-    case Fault::spoilt:
-      return {head, {Milliseconds(5), What::body, some(list) + "}]\x01{\n"}};
+      return {head, {Milliseconds(draw(random, 0, 2500)), Action::body, prefix_of(list)}};
+    case Fault::invalid_json:
+      return {head, {Milliseconds(5), Action::body, prefix_of(list) + "}]\x01{\n"}};
     case Fault::reset_in_list:
-      return {
-          head, {Milliseconds(5), What::body, some(list)}, {Milliseconds(draw(random, 0, 900)), What::reset}};
-    case Fault::half_then_blanks:
-      script = {head, {Milliseconds(5), What::body, some(list)}};
-      for (int i = 0; i < 100; ++i) script.push_back({Milliseconds(900), What::body, "\n"});
+      return {head,
+              {Milliseconds(5), Action::body, prefix_of(list)},
+              {Milliseconds(draw(random, 0, 900)), Action::reset}};
+    case Fault::half_list_then_newlines:
+      script = {head, {Milliseconds(5), Action::body, prefix_of(list)}};
+      for (int i = 0; i < 100; ++i) script.push_back({Milliseconds(900), Action::body, "\n"});
       return script;
-    case Fault::dripped:
+    case Fault::slow_bytes:
       script = {head};
-      for (const char c : list) script.push_back({Milliseconds(draw(random, 100, 700)), What::body, {c}});
+      for (const char c : list) script.push_back({Milliseconds(draw(random, 100, 700)), Action::body, {c}});
       return script;
-    case Fault::dripped_blanks:  // a blank is no empty line
+    case Fault::slow_spaces:  // a space is not an empty line
       script = {head};
-      for (int i = 0; i < 600; ++i) script.push_back({Milliseconds(draw(random, 100, 700)), What::body, " "});
+      for (int i = 0; i < 600; ++i)
+        script.push_back({Milliseconds(draw(random, 100, 700)), Action::body, " "});
       return script;
     case Fault::stale_alive:
     case Fault::stale_silent:
-      script = {head, {Milliseconds(5), What::body, stale}};
+      script = {head, {Milliseconds(5), Action::body, stale}};
       for (int i = 0; i < 50 && fault == Fault::stale_alive; ++i)
-        script.push_back({Milliseconds(2000), What::body, "\n"});
+        script.push_back({Milliseconds(2000), Action::body, "\n"});
       return script;
     case Fault::listed_then_silent:
       script = {head};
-      add_cut(script, random, list, Milliseconds(5));
+      add_chunks(script, random, list, Milliseconds(5));
       return script;
   }
   return script;
--- a/tests/discovery_series_test.cpp
+++ b/tests/discovery_series_test.cpp
@@ -1,5 +1,5 @@
-// Random series of what can become of calls to discovery, on virtual time: whatever it was, a change is told
-// within 6 s of the moment in which discovery had it and could be reached, and calls stay bounded.
+// Random series of faults of discovery on virtual time. Whatever happened before, a change must be known
+// within 6 s after discovery had it and was reachable, and the number of requests must stay bounded.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -17,31 +17,31 @@
 using valedrum::catalog::ListReader;
 using vetchhinge::HostList;
 
-constexpr auto kTold = 6s;
-constexpr auto kAnswer = 400ms;      // of a stand-in that can be reached
-constexpr auto kWatchAgain = 200ms;  // as the relay's, where lists come by themselves
-constexpr auto kLasts = 90s;
+constexpr auto kUpdateDeadline = 6s;
+constexpr auto kAnswerTime = 400ms;       // of a reachable fake service
+constexpr auto kWatchRetryDelay = 200ms;  // as in the relay, where lists are pushed
+constexpr auto kDayLength = 90s;
 
 struct Phase {
   Time from, to;
   bool good;
-  int first_change;  // the service was started anew behind this one, and counts anew
+  int first_change;  // the service restarted after this change; its versions start again
 };
 
-// When discovery can be reached, and when the list changes.
+// When discovery is reachable and when the list changes.
 struct Plan {
   std::vector<Phase> phases;
   std::vector<Time> changes;  // change n happens at changes[n]
 
   explicit Plan(std::uint64_t seed) {
     Random random(seed);
-    for (Time at{}; at < Time(kLasts); at += Milliseconds(draw(random, 200, 3000))) changes.push_back(at);
+    for (Time at{}; at < Time(kDayLength); at += Milliseconds(draw(random, 200, 3000))) changes.push_back(at);
     bool good = draw(random, 0, 1) == 0;
-    int anew = 0;
-    for (Time at{}; at < Time(kLasts); good = !good) {
+    int restarted_after = 0;
+    for (Time at{}; at < Time(kDayLength); good = !good) {
       const Time to = at + Milliseconds(good ? draw(random, 3000, 20'000) : draw(random, 100, 12'000));
-      if (good && anew == 0 && draw(random, 0, 2) == 0) anew = last_change(at);
-      phases.push_back({at, to, good, anew});
+      if (good && restarted_after == 0 && draw(random, 0, 2) == 0) restarted_after = last_change(at);
+      phases.push_back({at, to, good, restarted_after});
       at = to;
     }
   }
@@ -54,16 +54,17 @@
   std::int64_t version(int change, const Phase& phase) const {
     return phase.first_change == 0 ? 41 + change : 1 + change - phase.first_change;
   }
-  // The latest moment for a change: discovery could be reached for 6 s on end.
+  // Returns by when a change must be known: after discovery was reachable for 6 s without a break.
   std::optional<Time> due(Time had) const {
     for (const Phase& p : phases) {
-      if (p.good && std::max(p.from, had) + kTold <= p.to) return std::max(p.from, had) + kTold;
+      if (p.good && std::max(p.from, had) + kUpdateDeadline <= p.to)
+        return std::max(p.from, had) + kUpdateDeadline;
     }
     return std::nullopt;
   }
 };
 
-// What one relay of a fleet makes of it. It reads as relay/discovery.cpp does, on virtual time.
+// One relay of a fleet. It reads the watch as relay/discovery.cpp does, but on virtual time.
 class VirtualRelay {
  public:
   VirtualRelay(const Plan& plan, std::uint64_t seed, bool on_request)
@@ -72,7 +73,7 @@
     s.seed = seed;
     s.relays = 300;
     s.list_on_request = true;
-    s.list_request_interval = kTold;
+    s.list_request_interval = kUpdateDeadline;
     s.classes = {{.aim = 1s, .deadline = 8s}};
     s.kinds = {{}};
     module_.emplace(s);
@@ -80,40 +81,41 @@
     Time at{};
     if (on_request_) {
       step(at, {HostList{HostList::Kind::cached, {{vetchhinge::HostId(1), vetchhinge::DestinationId(1)}}}});
-      at = next_ask();
+      at = next_request();
     }
-    while (at < Time(kLasts)) {
+    while (at < Time(kDayLength)) {
       calls_.push_back(at);
       Time lost = call(at);
       for (; versions_.needs_full_list(); lost = call(lost)) calls_.push_back(lost);
-      at = lost + kWatchAgain;
+      at = lost + kWatchRetryDelay;
       if (!on_request_) continue;
       fire_until(lost);
-      asked_.reset();  // while it was open: one that is running goes on
-      step(lost,
-           {HostList{
-               HostList::Kind::lost, {}, std::chrono::duration_cast<vetchhinge::Duration>(lost - heard_)}});
-      at = next_ask();
+      requested_at_.reset();  // requests during an open watch had no effect
+      step(lost, {HostList{HostList::Kind::lost,
+                           {},
+                           std::chrono::duration_cast<vetchhinge::Duration>(lost - last_complete_at_)}});
+      at = next_request();
     }
   }
 
   const std::vector<Time>& calls() const { return calls_; }
 
   void check() const {
-    for (std::size_t n = 1; n < plan_.changes.size(); ++n) {  // the one before is known
+    for (std::size_t n = 1; n < plan_.changes.size(); ++n) {  // the first change is known from the start
       std::optional<Time> due = plan_.due(plan_.changes[n]);
-      // The watch may have fallen silent where a new one could have been had at once.
+      // The watch may have fallen silent while discovery was reachable for a new one.
       const Time had = plan_.changes[n];
       const auto end = std::ranges::upper_bound(ends_, had, {}, &End::at);
       if (end != ends_.begin() && end[-1].silent && end[-1].at >= plan_.phase(had).from) {
-        const Time by = std::max(end[-1].at + kTold, had + kAnswer);
+        const Time by = std::max(end[-1].at + kUpdateDeadline, had + kAnswerTime);
         if (plan_.phase(had).good && by <= plan_.phase(had).to) due = std::min(by, due.value_or(by));
       }
-      if (!due || *due >= Time(kLasts)) continue;
-      const auto taken =
-          std::ranges::find_if(taken_, [&](const auto& t) { return t.second >= static_cast<int>(n); });
-      ASSERT_NE(taken, taken_.end()) << "change " << n << " was never told";
-      EXPECT_LE(taken->first, *due) << "change " << n << ", late by " << (taken->first - *due) / 1ms << " ms";
+      if (!due || *due >= Time(kDayLength)) continue;
+      const auto accepted =
+          std::ranges::find_if(accepted_, [&](const auto& t) { return t.second >= static_cast<int>(n); });
+      ASSERT_NE(accepted, accepted_.end()) << "change " << n << " was never received";
+      EXPECT_LE(accepted->first, *due)
+          << "change " << n << ", late by " << (accepted->first - *due) / 1ms << " ms";
     }
   }
 
@@ -123,46 +125,49 @@
     bool silent;
   };
 
-  // Until the watch is given up.
+  // Runs one watch. Returns when it was abandoned.
   Time call(Time called) {
-    WatchDeadline clock(called);
+    WatchDeadline watch_deadline(called);
     ListReader reader;
     const Phase& phase = plan_.phase(called);
     const Script script = answer(called, versions_.begin_watch(), phase);
-    Time at = called, deadline = clock.deadline();
+    Time at = called, deadline = watch_deadline.deadline();
     const auto lost = [&](Time when) {
-      heard_ = std::min(clock.last_complete_at(), versions_.behind_since().value_or(Time::max()));
+      last_complete_at_ =
+          std::min(watch_deadline.last_complete_at(), versions_.behind_since().value_or(Time::max()));
       return when;
     };
-    for (const Piece& piece : script) {
-      at += piece.after;
+    for (const Step& script_step : script) {
+      at += script_step.after;
       if (at >= deadline) return lost(deadline);
-      if (piece.what == Piece::What::half_head) continue;
-      if (piece.what == Piece::What::unavailable || piece.what == Piece::What::reset) return lost(at);
+      if (script_step.action == Step::Action::half_head) continue;
+      if (script_step.action == Step::Action::unavailable || script_step.action == Step::Action::reset)
+        return lost(at);
       bool ended = false;
-      for (std::string_view bytes = piece.bytes; !bytes.empty();) {
+      for (std::string_view bytes = script_step.bytes; !bytes.empty();) {
         const auto status = read_watch(reader, bytes, ended);
         if (status == ListReader::Status::invalid) return lost(at);
         if (status != ListReader::Status::complete) continue;
         take(at, reader);
         reader.reset();
       }
-      if (piece.what == Piece::What::body) clock.on_bytes(at, piece.bytes.size(), ended);
-      deadline = std::min(clock.deadline(), versions_.deadline());
+      if (script_step.action == Step::Action::body)
+        watch_deadline.on_bytes(at, script_step.bytes.size(), ended);
+      deadline = std::min(watch_deadline.deadline(), versions_.deadline());
     }
     return lost(std::max(at, deadline));
   }
 
   void take(Time at, const ListReader& list) {
     const auto change = newest(list.entries());
-    const bool went_back = !taken_.empty() && change && *change < taken_.back().second;
+    const bool is_older = !accepted_.empty() && change && *change < accepted_.back().second;
     const auto behind = versions_.behind_since();
     if (!versions_.accept(at, list.version())) return;
-    EXPECT_TRUE(!went_back || behind) << "an old list came into force";
-    if (change) taken_.emplace_back(at, *change);
+    EXPECT_TRUE(!is_older || behind) << "a stale list was accepted";
+    if (change) accepted_.emplace_back(at, *change);
     if (on_request_) step(at, {HostList{HostList::Kind::whole, {}}});
   }
-  // The last that was listed.
+  // Returns the number of the last listed endpoint.
   static std::optional<int> newest(const valedrum::catalog::EndpointTable& entries) {
     std::optional<int> last;
     entries.for_each(0, entries.slot_end(),
@@ -181,48 +186,50 @@
     };
     if (!phase.good) {
       const int old = std::max(0, last - draw(random_, 1, 5));
-      const Fault fault = Fault(draw(random_, 0, kFaults - 1));
-      Script script = faulty(fault, random_, text(from, last),
-                             list_text(plan_.version(old, phase), true, old, old, draw(random_, 0, 1) == 0));
-      if (fault ==
-          Fault::stale_alive) {  // no longer than the phase: what lives and says too little can't be told
+      const Fault fault = Fault(draw(random_, 0, kFaultCount - 1));
+      Script script =
+          faulty_script(fault, random_, text(from, last),
+                        list_text(plan_.version(old, phase), true, old, old, draw(random_, 0, 1) == 0));
+      if (fault == Fault::stale_alive) {
+        // Ends with the phase: a watch that stays alive with an old list gives no sign of it.
         Time at = called;
-        std::erase_if(script, [&](const Piece& piece) { return (at += piece.after) >= phase.to; });
+        std::erase_if(script, [&](const Step& script_step) { return (at += script_step.after) >= phase.to; });
       }
       return script;
     }
-    Script script{{Milliseconds(draw(random_, 0, 20)), Piece::What::head}};
+    Script script{{Milliseconds(draw(random_, 0, 20)), Step::Action::head}};
     if (from < plan_.version(last, phase) || from > plan_.version(last, phase))
-      add_cut(script, random_, text(from, last), 0ms);
-    // Then it lives on, falls silent, or ends; at the phase's end it falls silent at the latest.
+      add_chunks(script, random_, text(from, last), 0ms);
+    // Then the watch continues, falls silent or ends; it falls silent at the end of the phase at the latest.
     Time at = called;
-    for (const Piece& piece : script) at += piece.after;
-    const int fate = draw(random_, 0, 2);
-    const Time over = fate == 0 ? phase.to : std::min(phase.to, at + Milliseconds(draw(random_, 0, 9000)));
+    for (const Step& script_step : script) at += script_step.after;
+    const int ending = draw(random_, 0, 2);
+    const Time ended_at =
+        ending == 0 ? phase.to : std::min(phase.to, at + Milliseconds(draw(random_, 0, 9000)));
     Time blank = at + 2s;
     for (int n = last;;) {
       const Time next = n + 1 < static_cast<int>(plan_.changes.size()) ? plan_.changes[n + 1] : Time::max();
       const Time then = std::max(at, std::min(next, blank));
-      if (then >= over) break;
+      if (then >= ended_at) break;
       const Milliseconds after = std::chrono::duration_cast<Milliseconds>(then - at);
       if (next <= blank) {
         ++n;
-        script.push_back({after, Piece::What::body, text(plan_.version(n - 1, phase), n)});
+        script.push_back({after, Step::Action::body, text(plan_.version(n - 1, phase), n)});
       } else {
-        script.push_back({after, Piece::What::body, "\n"});
+        script.push_back({after, Step::Action::body, "\n"});
       }
       at += after;
       blank = at + 2s;
     }
-    if (fate == 1) {
-      ends_.push_back({std::max(over, at), false});
+    if (ending == 1) {
+      ends_.push_back({std::max(ended_at, at), false});
       script.push_back(
-          {std::chrono::duration_cast<Milliseconds>(std::max(over, at) - at), Piece::What::reset});
+          {std::chrono::duration_cast<Milliseconds>(std::max(ended_at, at) - at), Step::Action::reset});
     } else {
-      if (draw(random_, 0, 1) == 0)  // in the middle of one
-        script.push_back(
-            {std::chrono::duration_cast<Milliseconds>(std::max(over, at) - at), Piece::What::body, "{\"ver"});
-      ends_.push_back({std::max(over, at), true});
+      if (draw(random_, 0, 1) == 0)  // in the middle of a list
+        script.push_back({std::chrono::duration_cast<Milliseconds>(std::max(ended_at, at) - at),
+                          Step::Action::body, "{\"ver"});
+      ends_.push_back({std::max(ended_at, at), true});
     }
     return script;
   }
@@ -239,27 +246,27 @@
     const auto now = std::chrono::duration_cast<vetchhinge::Duration>(at.time_since_epoch());
     for (const auto& action : module_->step(vetchhinge::Time(now), events)) {
       if (const auto* timer = std::get_if<vetchhinge::SetTimer>(&action)) timer_ = at + timer->after;
-      if (std::holds_alternative<vetchhinge::SubscribeHostList>(action)) asked_ = at;
+      if (std::holds_alternative<vetchhinge::SubscribeHostList>(action)) requested_at_ = at;
     }
   }
-  Time next_ask() {
-    while (!asked_ && timer_ && *timer_ < Time(kLasts)) fire();
-    return std::exchange(asked_, std::nullopt).value_or(Time::max());
+  Time next_request() {
+    while (!requested_at_ && timer_ && *timer_ < Time(kDayLength)) fire();
+    return std::exchange(requested_at_, std::nullopt).value_or(Time::max());
   }
 
   const Plan& plan_;
   Random random_;
   bool on_request_;
   std::optional<vetchhinge::Sender> module_;
-  std::optional<Time> timer_, asked_;
+  std::optional<Time> timer_, requested_at_;
   ListVersionFilter versions_;
-  Time heard_{};
+  Time last_complete_at_{};
   std::vector<Time> calls_;
-  std::vector<End> ends_;  // of watches that were opened where discovery could be reached
-  std::vector<std::pair<Time, int>> taken_;
+  std::vector<End> ends_;  // of watches that were opened while discovery was reachable
+  std::vector<std::pair<Time, int>> accepted_;
 };
 
-std::ptrdiff_t most_within(std::vector<Time> calls, std::chrono::milliseconds span) {
+std::ptrdiff_t max_calls_within(std::vector<Time> calls, std::chrono::milliseconds span) {
   std::ranges::sort(calls);
   std::ptrdiff_t most = 0;
   for (auto first = calls.begin(); first != calls.end(); ++first)
@@ -273,7 +280,7 @@
     const Plan plan(seed);
     const VirtualRelay relay(plan, seed, false);
     relay.check();
-    EXPECT_LE(most_within(relay.calls(), 1s), 5);
+    EXPECT_LE(max_calls_within(relay.calls(), 1s), 5);
   }
 }
 
@@ -283,11 +290,11 @@
     const Plan plan(seed);
     const VirtualRelay relay(plan, seed, true);
     relay.check();
-    EXPECT_LE(most_within(relay.calls(), 10s), 12);
+    EXPECT_LE(max_calls_within(relay.calls(), 10s), 12);
   }
 }
 
-// All 300 meet the same days, and many of their watches fall silent in the same moment.
+// All 300 relays see the same faults, and many of their watches fall silent at the same time.
 TEST(DiscoverySeries, TheCallsOfAFleetStayBounded) {
   for (std::uint64_t day = 1; day <= 10; ++day) {
     const Plan plan(day);
@@ -297,8 +304,8 @@
       one.check();
       calls.insert(calls.end(), one.calls().begin(), one.calls().end());
     }
-    EXPECT_LE(most_within(calls, 1s), 330);   // all ask anew after a silence, and some once more
-    EXPECT_LE(most_within(calls, 10s), 960);  // each one some three times
+    EXPECT_LE(max_calls_within(calls, 1s), 330);   // all reconnect after a silence, and some once more
+    EXPECT_LE(max_calls_within(calls, 10s), 960);  // about three requests for each relay
   }
 }
 
--- a/tests/host_client_test.cpp
+++ b/tests/host_client_test.cpp
@@ -1,4 +1,4 @@
-// Calls against sockets whose every step the test decides.
+// Tests of HostClient against sockets that the test controls step by step.
 #include "host_client.h"
 
 #include <gtest/gtest.h>
@@ -33,11 +33,11 @@
              .max_idle = 8,
              .max_connections = 12,
              .reads_limit_reports = true,
-             .before_last_byte = [this](const std::vector<CallItem>&) { return may_leave_; }},
+             .before_last_byte = [this](const std::vector<CallItem>&) { return may_send_; }},
             [this](HostId, const CallItem& item, const CallResult& result) {
               results_.emplace_back(item.message, result);
             },
-            [this](std::uint64_t number, CallEnd end) { over_.emplace_back(number, end); }) {}
+            [this](std::uint64_t number, CallEnd end) { ended_calls_.emplace_back(number, end); }) {}
 
   CallItem item(std::uint32_t id, vetchhinge::Duration timeout = 20s, std::size_t body = 5) {
     auto payload = std::make_shared<const Payload>(Payload{std::to_string(id), "", std::string(body, 'x')});
@@ -46,11 +46,13 @@
   void call(std::vector<CallItem> items) { client_.call(++calls_, HostId(1), address_, std::move(items)); }
   void TearDown() override {
     std::set<std::uint64_t> numbers;
-    for (const auto& [number, end] : over_) EXPECT_TRUE(numbers.insert(number).second) << "over twice";
-    EXPECT_EQ(client_.calls_in_flight() + over_.size(), calls_) << "each call is over once, or still out";
+    for (const auto& [number, end] : ended_calls_)
+      EXPECT_TRUE(numbers.insert(number).second) << "the end of a call was reported twice";
+    EXPECT_EQ(client_.calls_in_flight() + ended_calls_.size(), calls_)
+        << "each call has ended once or is in flight";
   }
 
-  // Runs the client until the condition holds; false after a time that only a fault can take.
+  // Runs the client until the condition holds. Returns false after a timeout that only a fault can reach.
   template <typename Condition>
   bool run_until(Condition condition) {
     const auto end = std::chrono::steady_clock::now() + 30s;
@@ -60,19 +62,19 @@
 
   tcp::socket accept() {
     tcp::socket socket(context_);
-    bool came = false;
-    acceptor_.async_accept(socket, [&](boost::system::error_code error) { came = !error; });
-    EXPECT_TRUE(run_until([&] { return came; }));
+    bool received = false;
+    acceptor_.async_accept(socket, [&](boost::system::error_code error) { received = !error; });
+    EXPECT_TRUE(run_until([&] { return received; }));
     return socket;
   }
   void read_head(tcp::socket& socket) {
     std::string text;
-    bool came = false;
+    bool received = false;
     boost::asio::async_read_until(socket, boost::asio::dynamic_buffer(text), "\r\n\r\n",
-                                  [&](boost::system::error_code error, std::size_t) { came = !error; });
-    EXPECT_TRUE(run_until([&] { return came; }));
+                                  [&](boost::system::error_code error, std::size_t) { received = !error; });
+    EXPECT_TRUE(run_until([&] { return received; }));
   }
-  // How many bytes a host that begins to read only now still gets.
+  // Returns how many bytes a host receives that begins to read only now.
   std::size_t read_rest(tcp::socket& socket) {
     std::string text;
     bool ended = false;
@@ -81,7 +83,7 @@
     EXPECT_TRUE(run_until([&] { return ended; }));
     return text.size();
   }
-  void say(tcp::socket& socket, const std::string& text) {
+  void send(tcp::socket& socket, const std::string& text) {
     boost::asio::write(socket, boost::asio::buffer(text));
   }
 
@@ -89,30 +91,30 @@
   tcp::acceptor acceptor_;
   tcp::endpoint address_;
   std::vector<std::pair<MessageId, CallResult>> results_;
-  std::vector<std::pair<std::uint64_t, CallEnd>> over_;
+  std::vector<std::pair<std::uint64_t, CallEnd>> ended_calls_;
   std::uint64_t calls_ = 0;
-  bool may_leave_ = true;
+  bool may_send_ = true;
   HostClient client_;
 };
 
-// The last time-out of a call is told once its connection is closed; before that the call is not over.
+// The last timeout of a call is reported after its connection is closed; until then the call has not ended.
 TEST_F(HostClientTest, ABulkCallIsOverOnceItsConnectionIsClosed) {
   call({item(1, 50ms), item(2, 300ms)});
   tcp::socket host = accept();
   read_head(host);
   ASSERT_TRUE(run_until([&] { return results_.size() == 1; }));
   EXPECT_EQ(results_[0].second.result, Result::timed_out);
-  EXPECT_TRUE(over_.empty()) << "the other one still waits on that connection";
+  EXPECT_TRUE(ended_calls_.empty()) << "the other message still waits on that connection";
   ASSERT_TRUE(run_until([&] { return results_.size() == 2; }));
   char bytes[4096];
   while (::recv(host.native_handle(), bytes, sizeof bytes, MSG_DONTWAIT) > 0) {
   }
-  EXPECT_EQ(errno, ECONNRESET) << "closed before it is told";
-  ASSERT_TRUE(run_until([&] { return !over_.empty(); }));
-  EXPECT_EQ(over_[0].second, CallEnd::timed_out);
+  EXPECT_EQ(errno, ECONNRESET) << "the connection is closed before the timeout is reported";
+  ASSERT_TRUE(run_until([&] { return !ended_calls_.empty(); }));
+  EXPECT_EQ(ended_calls_[0].second, CallEnd::timed_out);
 }
 
-// A process that gives over lets nothing leave that has not left; what has goes on.
+// A process that hands over sends no further calls; those that were sent continue.
 TEST_F(HostClientTest, WhatHasNotLeftIsWithheldAtOnce) {
   call({item(1)});
   tcp::socket host = accept();
@@ -123,22 +125,23 @@
   ASSERT_EQ(results_.size(), 1U);
   EXPECT_EQ(results_[0].first, MessageId(2));
   EXPECT_EQ(results_[0].second.result, Result::not_sent);
-  ASSERT_EQ(over_.size(), 1U);
-  EXPECT_EQ(over_[0].second, CallEnd::withheld);
+  ASSERT_EQ(ended_calls_.size(), 1U);
+  EXPECT_EQ(ended_calls_[0].second, CallEnd::withheld);
   client_.abort_all();
   ASSERT_EQ(results_.size(), 2U);
   EXPECT_EQ(results_[1].second.result, Result::cancelled);
   EXPECT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
 }
 
-// A wait or a drain that is told while a connection is still coming up must stop the call that waits for it.
+// A wait hint or a drain that arrives while a connection is being opened must stop the call that waits for
+// it.
 TEST_F(HostClientTest, ACallThatStillConnectsIsWithheld) {
-  // A full backlog: further connections stay half open.
+  // A full backlog keeps further connections half open.
   ::listen(acceptor_.native_handle(), 0);
-  std::vector<tcp::socket> crowd;
+  std::vector<tcp::socket> fillers;
   for (int i = 0; i < 4; ++i) {
-    crowd.emplace_back(context_);
-    crowd.back().async_connect(acceptor_.local_endpoint(), [](boost::system::error_code) {});
+    fillers.emplace_back(context_);
+    fillers.back().async_connect(acceptor_.local_endpoint(), [](boost::system::error_code) {});
   }
   call({item(1)});
   for (int i = 0; i < 20; ++i) context_.poll_one();
@@ -154,14 +157,14 @@
   tcp::socket host = accept();
   read_head(host);
   client_.cancel_unsent(HostId(1));
-  say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  send(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return !results_.empty(); }));
   EXPECT_EQ(results_[0].second.result, Result::delivered);
 }
 
-// The host begins a call with its last byte: what breaks while bytes still wait to be written never ran.
+// The host begins a call with its last byte: a call whose connection breaks before that never ran.
 TEST_F(HostClientTest, AResetBeforeTheLastByteNeverRan) {
-  call({item(1, 20s, 64 << 20)});  // more than the sockets hold, and the host reads none of it
+  call({item(1, 20s, 64 << 20)});  // more than the socket buffers hold, and the host does not read
   tcp::socket host = accept();
   read_head(host);
   ASSERT_TRUE(results_.empty());
@@ -181,23 +184,23 @@
   EXPECT_EQ(results_[0].second.result, Result::reset);
 }
 
-// Where a call broke tells different things of a host that was never reached, of one that ended a connection
-// as it came up, and of one whose kept connection had lain idle.
+// A broken call means something else if the host was never reached, if it ended a new connection, or if it
+// ended one that had been idle.
 TEST_F(HostClientTest, AResultTellsTheConnectionItUsed) {
   call({item(1)});
   tcp::socket host = accept();
   read_head(host);
-  say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  send(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_TRUE(results_.at(0).second.connection.established);
-  EXPECT_EQ(results_[0].second.connection.idle, 0us) << "a new one";
+  EXPECT_EQ(results_[0].second.connection.idle, 0us) << "a new connection";
   call({item(2)});
   read_head(host);
   host.set_option(boost::asio::socket_base::linger(true, 0));
   host.close();
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_EQ(results_.at(1).second.result, Result::reset);
-  EXPECT_GT(results_[1].second.connection.idle, 0us) << "the kept one";
+  EXPECT_GT(results_[1].second.connection.idle, 0us) << "the reused connection";
   acceptor_.close();
   call({item(3)});
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
@@ -205,37 +208,37 @@
   EXPECT_FALSE(results_[2].second.connection.established);
 }
 
-// What may not be repeated goes out on a connection of an age that has been seen to work, or on a new one;
-// the kept one stays for others.
+// Work that may not be repeated is sent on a connection that was idle for a short enough time, or on a new
+// one; the idle connection remains for other calls.
 TEST_F(HostClientTest, ACallKeepsOffAConnectionThatLayIdleForTooLong) {
   call({item(1)});
   tcp::socket kept = accept();
   read_head(kept);
-  say(kept, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  send(kept, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
-  CallItem careful = item(2);
-  careful.max_connection_idle = 0us;
-  call({careful, item(3)});  // the most careful one of a call decides
+  CallItem limited = item(2);
+  limited.max_connection_idle = 0us;
+  call({limited, item(3)});  // the smallest limit of a call applies
   tcp::socket fresh = accept();
   read_head(fresh);
-  say(fresh, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+  send(fresh, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   call({item(4)});
   read_head(kept);
 }
 
-// What breaks a connection as it comes up, or as the request comes, is seen before the last byte: work that
-// may not be repeated has not run, and may go out again.
+// A connection that breaks at its start or at the request does so before the last byte is sent: work that may
+// not be repeated has not run and may be sent again.
 TEST_F(HostClientTest, AConnectionThatDoesNotStandItsFirstBytesRanNothing) {
-  HostClient patient(
+  HostClient slow_verifier(
       context_.get_executor(), {20s, 10s, 8, 12, true, 20s},
       [this](HostId, const CallItem& item, const CallResult& result) {
         results_.emplace_back(item.message, result);
       },
       [](std::uint64_t, CallEnd) {});
-  CallItem careful = item(1);
-  careful.verify_connection = true;
-  patient.call(1, HostId(1), address_, {careful});
+  CallItem verified = item(1);
+  verified.verify_connection = true;
+  slow_verifier.call(1, HostId(1), address_, {verified});
   tcp::socket host = accept();
   read_head(host);
   EXPECT_TRUE(results_.empty());
@@ -244,16 +247,17 @@
   ASSERT_TRUE(run_until([&] { return !results_.empty(); }));
   EXPECT_EQ(results_[0].second.result, Result::connect_failed);
   EXPECT_TRUE(results_[0].second.connection.established);
-  ASSERT_TRUE(run_until([&] { return patient.calls_in_flight() == 0; }));
+  ASSERT_TRUE(run_until([&] { return slow_verifier.calls_in_flight() == 0; }));
 }
 
-// What has got its final answer while its connection was proven stays without its last byte: it never runs.
+// A message that got its final answer while its connection was verified is not sent: the last byte is
+// withheld, and the call never runs.
 TEST_F(HostClientTest, TheLastByteIsHeldBackFromWhatMayNotLeaveAnyMore) {
-  CallItem careful = item(1);
-  careful.verify_connection = true;
-  call({careful});
+  CallItem verified = item(1);
+  verified.verify_connection = true;
+  call({verified});
   tcp::socket host = accept();
-  may_leave_ = false;
+  may_send_ = false;
   std::string text;
   bool ended = false;
   boost::asio::async_read(host, boost::asio::dynamic_buffer(text),
@@ -263,7 +267,7 @@
   EXPECT_EQ(results_[0].second.result, Result::not_sent);
 }
 
-// A call may wait for others' word, or the disk, before it is made: that wait counts against its moments.
+// A call may wait for replicas or the disk before it starts; that wait counts against its deadlines.
 TEST_F(HostClientTest, WhatWaitedBeforeItsCallHasNoMoreTimeForThat) {
   CallItem late = item(1);
   late.write_deadline = steady_time() + 30ms;
@@ -275,21 +279,21 @@
   EXPECT_TRUE(results_[0].second.connection.established);
   call({brief});
   ASSERT_TRUE(run_until([&] { return results_.size() == 2; }));
-  EXPECT_EQ(results_[1].second.result, Result::connect_failed) << "no byte of it went out";
+  EXPECT_EQ(results_[1].second.result, Result::connect_failed) << "no byte of it was sent";
 }
 
-// The kernel goes on to bring what it holds of a request after its connection was closed: a host that reads
-// late, or is cut off for a while, would begin what was given up, and perhaps sent again elsewhere.
+// Without a reset the kernel delivers the buffered rest of a request after the connection was closed: a host
+// that reads late or is unreachable for a while would begin a call that was abandoned and perhaps retried.
 TEST_F(HostClientTest, WhatHasTimedOutDoesNotArriveAnyMore) {
   acceptor_.set_option(boost::asio::socket_base::receive_buffer_size(4096));
   call({item(1, 200ms, 60'000)});
   tcp::socket host = accept();
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
-  EXPECT_EQ(results_.at(0).second.result, Result::timed_out) << "its last byte went out";
-  EXPECT_LT(read_rest(host), 60'000U) << "and never came";
+  EXPECT_EQ(results_.at(0).second.result, Result::timed_out) << "its last byte was written";
+  EXPECT_LT(read_rest(host), 60'000U) << "and never arrived";
 }
 
-// What left in time and is still on its way when it had to be there is taken back: it may have run.
+// A request that was written in time but has not arrived at its deadline is reset; it may have run.
 TEST_F(HostClientTest, WhatLeftInTimeAndDoesNotArriveIsTakenBack) {
   acceptor_.set_option(boost::asio::socket_base::receive_buffer_size(4096));
   CallItem repeat = item(1, 20s, 60'000);
@@ -302,7 +306,7 @@
   EXPECT_LT(read_rest(host), 60'000U);
 }
 
-// One that has arrived is waited for.
+// A request that has arrived keeps its full timeout.
 TEST_F(HostClientTest, WhatArrivedInTimeKeepsItsTime) {
   CallItem repeat = item(1);
   repeat.write_deadline = steady_time() + 20ms;
@@ -311,18 +315,18 @@
   read_head(host);
   run_until([&] { return steady_time() > repeat.write_deadline + 100ms; });
   ASSERT_TRUE(results_.empty());
-  say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  send(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_EQ(results_.at(0).second.result, Result::delivered);
 }
 
-// Its connection comes up after the moment until which it may begin to run.
+// The connection is established only after the write deadline of one of the messages.
 TEST_F(HostClientTest, WhatMayNotLeaveSoLateStaysHere) {
   ::listen(acceptor_.native_handle(), 0);
-  std::vector<tcp::socket> crowd;  // a full backlog: further connections come up once there is room
+  std::vector<tcp::socket> fillers;  // a full backlog: further connections are established once there is room
   for (int i = 0; i < 4; ++i) {
-    crowd.emplace_back(context_);
-    crowd.back().async_connect(acceptor_.local_endpoint(), [](boost::system::error_code) {});
+    fillers.emplace_back(context_);
+    fillers.back().async_connect(acceptor_.local_endpoint(), [](boost::system::error_code) {});
   }
   CallItem late = item(1);
   late.write_deadline = steady_time() + 50ms;
@@ -344,7 +348,7 @@
   ASSERT_TRUE(run_until([&] { return results_.size() == 2; }));
   for (const auto& [id, result] : results_) {
     EXPECT_EQ(result.result, Result::not_sent);
-    EXPECT_TRUE(result.connection.established) << "it did come up";
+    EXPECT_TRUE(result.connection.established) << "the connection was established";
   }
   for (tcp::socket& socket : accepted) {
     boost::system::error_code error;
@@ -355,40 +359,40 @@
 }
 
 TEST_F(HostClientTest, AConnectionThatStandsGetsTheWholeRequest) {
-  CallItem careful = item(1);
-  careful.verify_connection = true;
-  call({careful});
+  CallItem verified = item(1);
+  verified.verify_connection = true;
+  call({verified});
   tcp::socket host = accept();
   std::string text;
   boost::asio::async_read_until(host, boost::asio::dynamic_buffer(text), std::string(5, 'x'),
                                 [](boost::system::error_code, std::size_t) {});
   ASSERT_TRUE(run_until([&] { return text.ends_with("\r\n\r\nxxxxx"); }));
-  say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  send(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return !results_.empty(); }));
   EXPECT_EQ(results_[0].second.result, Result::delivered);
 }
 
-// A delivery counts with its first line: the rest of the answer may never come.
+// A delivery counts from the status line on: the rest of the answer may never arrive.
 TEST_F(HostClientTest, AnAnswerThatBreaksAfterItsHeadIsADelivery) {
   call({item(1)});
   tcp::socket host = accept();
   read_head(host);
-  say(host, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+  send(host, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
   host.close();
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   ASSERT_EQ(results_.size(), 1U);
   EXPECT_EQ(results_[0].second.result, Result::delivered);
 }
 
-// A host that is full is backed off from; one that saw too many calls of this relay has not been asked at
-// all.
+// The relay backs off from a host that is full, but not from one that rejected a call because this relay had
+// exceeded its own slots.
 TEST_F(HostClientTest, WantOfAnOwnSlotIsNoRefusalOfTheHost) {
   const auto result_after = [&](std::uint32_t id, const std::string& field) {
     const std::size_t before = results_.size();
     call({item(id)});
     tcp::socket host = accept();
     read_head(host);
-    say(host, "HTTP/1.1 503 Full\r\n" + field + "Connection: close\r\nContent-Length: 0\r\n\r\n");
+    send(host, "HTTP/1.1 503 Full\r\n" + field + "Connection: close\r\nContent-Length: 0\r\n\r\n");
     EXPECT_TRUE(run_until([&] { return results_.size() > before; }));
     return results_.back().second.result;
   };
@@ -405,33 +409,33 @@
   EXPECT_EQ(results_[0].first, MessageId(1));
   EXPECT_EQ(results_[0].second.result, Result::timed_out);
   const std::string body = R"([{"id":"1","state":"done"},{"id":"2","state":"done"}])";
-  say(host, "HTTP/1.1 200 OK\r\nX-RateLimit-Wait-Ms: 250\r\nContent-Length: " + std::to_string(body.size()) +
-                "\r\n\r\n" + body);
+  send(host, "HTTP/1.1 200 OK\r\nX-RateLimit-Wait-Ms: 250\r\nContent-Length: " + std::to_string(body.size()) +
+                 "\r\n\r\n" + body);
   ASSERT_TRUE(run_until([&] { return results_.size() == 2; }));
   EXPECT_EQ(results_[1].second.result, Result::delivered);
-  EXPECT_EQ(results_[1].second.wait_hint, 250ms) << "a wait in a bulk answer binds alike";
+  EXPECT_EQ(results_[1].second.wait_hint, 250ms) << "a wait hint in a bulk answer applies too";
 }
 
-// A connection that the host closed while it lay idle must not carry the next call: that would be a reset.
+// A connection that the host closed while it was idle must not carry the next call, which would be reset.
 TEST_F(HostClientTest, AConnectionClosedWhileIdleIsNotUsedAgain) {
   call({item(1)});
   {
     tcp::socket host = accept();
     read_head(host);
-    say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    send(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   }
   call({item(2)});
   tcp::socket host = accept();
   read_head(host);
-  say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  send(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   EXPECT_EQ(results_.back().second.result, Result::delivered);
 }
 
-// ------------------------------------------------------------------------- spoilt answers
+// ------------------------------------------------------------------------- invalid answers
 
-const std::string kGood = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const std::string kDeliveredAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 TEST_F(HostClientTest, SpoiltAnswersMayHaveRunUnlessTheFirstLineSays200) {
   const std::string endless(20 << 10, 'x');
@@ -452,9 +456,9 @@
   for (const auto& [text, expected] : answers) {
     results_.clear();
     call({item(1)});
-    tcp::socket host = accept();  // a new one each time, and left open by the host
+    tcp::socket host = accept();  // a new connection each time, which the host leaves open
     read_head(host);
-    say(host, text);
+    send(host, text);
     ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; })) << text;
     ASSERT_EQ(results_.size(), 1U) << text;
     EXPECT_EQ(results_[0].second.result, expected) << text;
@@ -469,7 +473,7 @@
     call({item(1), item(2)});
     tcp::socket host = accept();
     read_head(host);
-    say(host, text);
+    send(host, text);
     ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0 && results_.size() == 2; })) << text;
     for (const auto& [id, result] : results_) EXPECT_EQ(result.result, Result::reset) << text;
   }
@@ -479,34 +483,34 @@
   call({item(1)});
   tcp::socket host = accept();
   read_head(host);
-  say(host, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 503 Full\r\n" +
-                std::string("Content-Length: 0\r\n\r\n"));
+  send(host, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 503 Full\r\n" +
+                 std::string("Content-Length: 0\r\n\r\n"));
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   ASSERT_EQ(results_.size(), 1U);
   EXPECT_EQ(results_[0].second.result, Result::full);
 }
 
-// Bytes that belong to no call, with the answer or right behind it, must not answer the next call.
+// Stray bytes, sent with an answer or right after it, must not be taken for the answer to the next call.
 TEST_F(HostClientTest, BytesBehindAnAnswerAnswerNothing) {
   for (const bool together : {true, false}) {
     results_.clear();
     call({item(1)});
     tcp::socket host = accept();
     read_head(host);
-    say(host, together ? kGood + kGood : kGood);
+    send(host, together ? kDeliveredAnswer + kDeliveredAnswer : kDeliveredAnswer);
     ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
-    if (!together) say(host, kGood);
+    if (!together) send(host, kDeliveredAnswer);
     call({item(2)});
     tcp::socket next = accept();
     read_head(next);
-    say(next, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
+    send(next, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
     ASSERT_TRUE(run_until([&] { return results_.size() == 2; }));
     EXPECT_EQ(results_[1].second.result, Result::error);
     client_.close_idle(HostId(1));
   }
 }
 
-// Calls and idle connections together stay under the bound; what has no room is told so and never ran.
+// Calls and idle connections together stay within the limit; further calls are reported as not sent.
 TEST_F(HostClientTest, CallsAreBoundedByDescriptors) {
   for (std::uint32_t id = 1; id <= 15; ++id) call({item(id)});
   ASSERT_TRUE(run_until([&] { return results_.size() == 3; }));
@@ -514,18 +518,18 @@
   for (const auto& [id, result] : results_) EXPECT_EQ(result.result, Result::not_sent);
 }
 
-// A call whose time runs out while it waits for its connection must not open another, whose time nobody
-// keeps.
+// A call that times out while it waits for an idle connection to settle must not open a new connection, for
+// which no timeout would be enforced.
 TEST_F(HostClientTest, ACallOutOfTimeBeforeItIsConnectedEnds) {
   call({item(1)});
   tcp::socket host = accept();
   read_head(host);
-  say(host, kGood);
+  send(host, kDeliveredAnswer);
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   call({item(2, 1ms)});
   ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
   ASSERT_EQ(results_.size(), 2U);
-  EXPECT_EQ(results_[1].second.result, Result::connect_failed) << "it never went out";
+  EXPECT_EQ(results_[1].second.result, Result::connect_failed) << "it was never sent";
 }
 
 TEST_F(HostClientTest, AReportIsReadWhereItCanBe) {
@@ -539,7 +543,7 @@
     call({item(1)});
     tcp::socket host = accept();
     read_head(host);
-    say(host, "HTTP/1.1 200 OK\r\nX-Server-Load: " + load + "\r\nContent-Length: 0\r\n\r\n");
+    send(host, "HTTP/1.1 200 OK\r\nX-Server-Load: " + load + "\r\nContent-Length: 0\r\n\r\n");
     ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
     EXPECT_EQ(results_[0].second.result, Result::delivered) << load;
     ASSERT_EQ(results_[0].second.limit_report.has_value(), readable) << load;
@@ -555,7 +559,7 @@
   tcp::socket host = accept();
   for (std::uint32_t id = 2; id < 5; ++id) {
     read_head(host);
-    say(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    send(host, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     ASSERT_TRUE(run_until([&] { return client_.calls_in_flight() == 0; }));
     call({item(id)});
   }
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -1,6 +1,4 @@
-// Tests of the list of endpoints and of which destinations the decision module knows, with the Endpoints
-// class alone and in a relay. Up to a limit, all destinations of the list are active in the module; beyond
-// it, a destination is inactive until a message for it arrives.
+// Tests of the list of endpoints and of active destinations: of Endpoints alone and within a relay.
 #include <boost/asio/io_context.hpp>
 
 #include "catalog/list_reader.h"
@@ -17,7 +15,7 @@
 using vetchhinge::HostList;
 using vetchhinge::HostState;
 
-// An entry of a list from discovery, with defaults for what most tests do not vary.
+// An entry of discovery's list.
 struct ListedEntry {
   std::string id;
   std::uint64_t cell = 0;
@@ -25,7 +23,7 @@
   int port = 7070;
   std::string kind = "plain";
 };
-std::string list_json(const std::vector<ListedEntry>& entries, bool full, std::int64_t version = 1) {
+std::string text_of(const std::vector<ListedEntry>& entries, bool full, std::int64_t version = 1) {
   json::array servers;
   for (const ListedEntry& e : entries) {
     servers.push_back(json::object{{"id", e.id},
@@ -39,10 +37,10 @@
   }
   return json::serialize(json::object{{"version", version}, {"full", full}, {"servers", servers}});
 }
-std::string id_of(std::uint64_t i) { return std::string("e").append(std::to_string(i)); }
-std::vector<ListedEntry> make_entries(std::uint64_t count) {
+std::string endpoint_name(std::uint64_t i) { return std::string("e").append(std::to_string(i)); }
+std::vector<ListedEntry> entries_up_to(std::uint64_t count) {
   std::vector<ListedEntry> all;
-  for (std::uint64_t i = 0; i < count; ++i) all.push_back({id_of(i), i});
+  for (std::uint64_t i = 0; i < count; ++i) all.push_back({endpoint_name(i), i});
   return all;
 }
 
@@ -56,9 +54,9 @@
   }
   ~EndpointsTest() override { fs::remove_all(folder_); }
 
-  // Passes a list to the endpoints and returns the event for the decision module.
-  HostList take(const std::vector<ListedEntry>& entries, bool full, std::int64_t version = 1) {
-    const std::string text = list_json(entries, full, version);
+  // Applies a list and returns the update for the module.
+  HostList apply_list(const std::vector<ListedEntry>& entries, bool full, std::int64_t version = 1) {
+    const std::string text = text_of(entries, full, version);
     std::string_view rest = text;
     EXPECT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete) << reader_.error();
     events_.clear();
@@ -99,46 +97,46 @@
   Endpoints::Events events_;
 };
 
-TEST_F(EndpointsTest, UpToTheBoundAllAreAwakeInTheOrderOfTheList) {
-  const HostList whole = take({{"b", 2}, {"a", 1}, {"c", 2}, {"d", 3}}, true);
+TEST_F(EndpointsTest, UpToTheLimitAllAreActiveInTheOrderOfTheList) {
+  const HostList whole = apply_list({{"b", 2}, {"a", 1}, {"c", 2}, {"d", 3}}, true);
   EXPECT_EQ(whole.kind, HostList::Kind::whole);
   EXPECT_EQ(names(whole), (Names{"b", "a", "c", "d"}));
   EXPECT_EQ(whole.entries[2].host, HostId{2});
   EXPECT_EQ(whole.entries[0].rate, 2.5);
-  EXPECT_EQ(names(take({{"n", 9}, {"b", 2, "DRAINING"}}, false)), (Names{"n", "b"}));
+  EXPECT_EQ(names(apply_list({{"n", 9}, {"b", 2, "DRAINING"}}, false)), (Names{"n", "b"}));
   EXPECT_TRUE(activate(9).entries.empty());
 }
 
-TEST_F(EndpointsTest, BeyondItOnlyWhatAMessageComesForIsAwake) {
-  EXPECT_TRUE(take(make_entries(100), true).entries.empty());
+TEST_F(EndpointsTest, BeyondItOnlyDestinationsWithMessagesAreActive) {
+  EXPECT_TRUE(apply_list(entries_up_to(100), true).entries.empty());
   EXPECT_TRUE(endpoints_.has_seen_endpoints());
   EXPECT_TRUE(endpoints_.is_destination(50));
   EXPECT_FALSE(endpoints_.is_destination(100));
-  const HostList woken = activate(50);
-  EXPECT_EQ(woken.kind, HostList::Kind::changes);
-  EXPECT_EQ(names(woken), Names{"e50"});
-  EXPECT_EQ(endpoints_.at(woken.entries[0].host).zone, "z-e50");
+  const HostList activated = activate(50);
+  EXPECT_EQ(activated.kind, HostList::Kind::changes);
+  EXPECT_EQ(names(activated), Names{"e50"});
+  EXPECT_EQ(endpoints_.at(activated.entries[0].host).zone, "z-e50");
   EXPECT_TRUE(activate(50).entries.empty());
-  EXPECT_EQ(names(take({{"e50", 50, "DRAINING"}, {"e51", 51, "DRAINING"}}, false)), Names{"e50"});
-  // Inactive entries are kept complete too.
+  EXPECT_EQ(names(apply_list({{"e50", 50, "DRAINING"}, {"e51", 51, "DRAINING"}}, false)), Names{"e50"});
+  // The fields of inactive entries are kept too.
   const catalog::Entry inactive = endpoints_.list().at(endpoints_.list().find("e51").value());
   EXPECT_EQ(inactive.state, catalog::EndpointState::draining);
   EXPECT_EQ(inactive.zone, "z-e51");
   EXPECT_EQ(inactive.weight, 2.5);
   EXPECT_EQ(inactive.started_ms, 1'700'000'000'000);
   EXPECT_EQ(activate(51).entries.at(0).state, HostState::draining);
-  EXPECT_EQ(names(take(make_entries(100), true)), (Names{"e50", "e51"}));
+  EXPECT_EQ(names(apply_list(entries_up_to(100), true)), (Names{"e50", "e51"}));
 }
 
-TEST_F(EndpointsTest, PutAwayAndNeededAgainItIsToldAnew) {
-  take(make_entries(100), true);
+TEST_F(EndpointsTest, EvictedAndNeededAgainItIsReportedAnew) {
+  apply_list(entries_up_to(100), true);
   const HostId first = activate(7).entries.at(0).host;
   endpoints_.evict(7);
   EXPECT_FALSE(dialect_.hosts.find("e7"));
   const HostList again = activate(7);
   EXPECT_EQ(names(again), Names{"e7"});
   EXPECT_NE(again.entries[0].host, first);
-  // While a call is in flight, the endpoint keeps its record and its host number.
+  // With a call in flight it keeps its record and its id.
   endpoints_.on_call_started(again.entries[0].host);
   endpoints_.evict(7);
   EXPECT_EQ(endpoints_.at(again.entries[0].host).attempts_in_flight, 1U);
@@ -147,16 +145,16 @@
   EXPECT_EQ(endpoints_.at(again.entries[0].host).attempts_in_flight, 0U);
 }
 
-TEST_F(EndpointsTest, OneThatRestsIsBannedByNameAndStaysOutWhenWoken) {
-  take(make_entries(100), true);
+TEST_F(EndpointsTest, AnInactiveOneIsDisabledByNameAndStaysDisabledWhenActivated) {
+  apply_list(entries_up_to(100), true);
   EXPECT_TRUE(endpoints_.is_known("e8"));
   EXPECT_FALSE(endpoints_.is_known("e100"));
   journal_.disable_host("e8");
-  const HostId banned = endpoints_.host_id("e8");
-  endpoints_.cancel_unsent(banned);
-  EXPECT_EQ(activate(8).entries.at(0).host, banned);
+  const HostId out = endpoints_.host_id("e8");
+  endpoints_.cancel_unsent(out);
+  EXPECT_EQ(activate(8).entries.at(0).host, out);
   endpoints_.evict(8);
-  EXPECT_EQ(activate(8).entries.at(0).host, banned);
+  EXPECT_EQ(activate(8).entries.at(0).host, out);
   endpoints_.evict(8);
   journal_.enable_host("e8");
   endpoints_.release_name("e8");
@@ -164,10 +162,10 @@
 }
 
 TEST_F(EndpointsTest, AnIdThatMovesToAnotherDestinationIsAnotherHost) {
-  const HostId first = take({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
+  const HostId first = apply_list({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
   endpoints_.on_call_started(first);
   journal_.disable_host("a");
-  const HostList moved = take({{"a", 2}}, false);
+  const HostList moved = apply_list({{"a", 2}}, false);
   ASSERT_EQ(moved.entries.size(), 2U);
   EXPECT_EQ(moved.entries[0].host, first);
   EXPECT_EQ(moved.entries[0].state, HostState::gone);
@@ -176,32 +174,32 @@
   EXPECT_EQ(endpoints_.at(first).unsent_cancellations, 1U);
   ASSERT_EQ(events_.size(), 2U);
   EXPECT_EQ(std::get<vetchhinge::OperatorHostOverride>(events_[1]).host, moved.entries[1].host);
-  EXPECT_EQ(endpoints_.name(first), "a");  // as long as its call is in flight
+  EXPECT_EQ(endpoints_.name(first), "a");  // while its call is in flight
   endpoints_.on_call_ended(first);
   EXPECT_EQ(dialect_.hosts.find("a"), static_cast<std::uint32_t>(moved.entries[1].host));
-  // The same with a full list.
-  const HostList whole = take({{"a", 3}, {"b", 2}}, true);
+  // By a full list too.
+  const HostList whole = apply_list({{"a", 3}, {"b", 2}}, true);
   EXPECT_EQ(names(whole), (Names{"a", "b"}));
   EXPECT_NE(whole.entries[0].host, moved.entries[1].host);
 }
 
 TEST_F(EndpointsTest, ADestinationThatGoesWithACallOutComesBackUnderAnotherAddress) {
-  const HostId host = take({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
+  const HostId host = apply_list({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
   endpoints_.on_call_started(host);
-  EXPECT_EQ(take({{"a", 0, "DELETED"}}, false).entries.at(0).state, HostState::gone);
+  EXPECT_EQ(apply_list({{"a", 0, "DELETED"}}, false).entries.at(0).state, HostState::gone);
   EXPECT_EQ(endpoints_.at(host).unsent_cancellations, 1U);
   EXPECT_TRUE(endpoints_.is_destination(1));
-  EXPECT_EQ(take({{"a", 1, "SERVING", 9090}}, false).entries.at(0).host, host);
+  EXPECT_EQ(apply_list({{"a", 1, "SERVING", 9090}}, false).entries.at(0).host, host);
   EXPECT_EQ(endpoints_.at(host).address.port(), 9090);
   endpoints_.on_call_ended(host);
   EXPECT_TRUE(endpoints_.at(host).listed);
 }
 
 TEST_F(EndpointsTest, AListWithoutHalfOfWhatWasThere) {
-  take(make_entries(100), true);
+  apply_list(entries_up_to(100), true);
   activate(10);
   activate(60);
-  const HostList half = take(make_entries(50), true);
+  const HostList half = apply_list(entries_up_to(50), true);
   EXPECT_EQ(names(half), Names{"e10"});
   EXPECT_FALSE(dialect_.hosts.find("e60"));
   EXPECT_TRUE(endpoints_.is_destination(75));
@@ -213,18 +211,18 @@
 }
 
 TEST_F(EndpointsTest, WhatIsOfNoKnownKindIsNoDestination) {
-  EXPECT_EQ(names(take({{"a", 1}, {"b", 2, "SERVING", 7070, "new"}}, true)), Names{"a"});
+  EXPECT_EQ(names(apply_list({{"a", 1}, {"b", 2, "SERVING", 7070, "new"}}, true)), Names{"a"});
   EXPECT_FALSE(endpoints_.is_destination(2));
   EXPECT_FALSE(endpoints_.is_known("b"));
-  const HostList changed = take({{"a", 1, "SERVING", 7070, "new"}, {"b", 2}}, false);
+  const HostList changed = apply_list({{"a", 1, "SERVING", 7070, "new"}, {"b", 2}}, false);
   EXPECT_EQ(changed.entries.at(0).state, HostState::gone);
   EXPECT_EQ(changed.entries.at(1).state, HostState::running);
   EXPECT_TRUE(endpoints_.is_destination(2));
 }
 
 TEST_F(EndpointsTest, ManyChangesAreTakenInPartsAndCountOnceAllAreIn) {
-  take(make_entries(10), true, 4);
-  const std::string text = list_json(make_entries(3'000), false, 9);
+  apply_list(entries_up_to(10), true, 4);
+  const std::string text = text_of(entries_up_to(3'000), false, 9);
   std::string_view rest = text;
   ASSERT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete);
   int parts = 1;
@@ -238,17 +236,17 @@
 }
 
 TEST_F(EndpointsTest, EndlessNewIdsAndDestinationsKeepMemoryFlat) {
-  take(make_entries(100), true);
+  apply_list(entries_up_to(100), true);
   std::size_t before = 0;
   for (std::uint64_t i = 100; i < 100'000; ++i) {
     catalog::EndpointTable change;
-    const std::string added_id = id_of(i), deleted_id = id_of(i - 100);
+    const std::string added = endpoint_name(i), removed = endpoint_name(i - 100);
     catalog::Entry entry;
-    entry.id = added_id;
+    entry.id = added;
     entry.kind = "plain";
     entry.cell = i;
     change.put(entry);
-    entry.id = deleted_id;
+    entry.id = removed;
     entry.state = catalog::EndpointState::deleted;
     change.put(entry);
     endpoints_.apply_changes(1, change, true, events_);
@@ -260,19 +258,19 @@
   EXPECT_EQ(endpoints_.list().size(), 100U);
   EXPECT_LE(endpoints_.list().bytes(), before);
   EXPECT_TRUE(endpoints_.is_destination(99'000));
-  EXPECT_FALSE(endpoints_.is_destination(1'000));  // removed long ago
+  EXPECT_FALSE(endpoints_.is_destination(1'000));  // it left the list long ago
   EXPECT_FALSE(dialect_.hosts.find("e99999"));
 }
 
-TEST(ConfigTextTest, TheListIsTakenOutOfATextCutAtAnyByte) {
-  const std::string known = list_json(make_entries(3), true, 41);
+TEST(ConfigReaderTest, TheListIsTakenOutOfATextCutAtAnyByte) {
+  const std::string known = text_of(entries_up_to(3), true, 41);
   const std::string text = R"({"name":"known","a":{"known":{"x":[1]}},"s":"\"}","known": )" + known +
                            R"(,"b":[{}],"known ":{},"last":1})";
   const std::string rest = R"({"name":"known","a":{"known":{"x":[1]}},"s":"\"}","known": null)"
                            R"(,"b":[{}],"known ":{},"last":1})";
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-    ConfigReader read(ConfigReader::KnownHosts::read), passed(ConfigReader::KnownHosts::skip);
-    for (ConfigReader* to : {&read, &passed}) {
+    ConfigReader read(ConfigReader::KnownHosts::read), skipped(ConfigReader::KnownHosts::skip);
+    for (ConfigReader* to : {&read, &skipped}) {
       to->feed(std::string_view(text).substr(0, cut));
       to->feed(std::string_view(text).substr(cut));
       EXPECT_EQ(to->json_without_hosts(), rest);
@@ -280,7 +278,7 @@
     const HostListSnapshot list = read.take_known_hosts();
     EXPECT_EQ(list.version, 41);
     EXPECT_EQ(list.entries.size(), 3U);
-    EXPECT_EQ(passed.take_known_hosts().entries.size(), 0U);
+    EXPECT_EQ(skipped.take_known_hosts().entries.size(), 0U);
   }
   EXPECT_THROW(ConfigReader(ConfigReader::KnownHosts::read).feed(R"({"known":{"servers":1}})"),
                std::invalid_argument);
@@ -288,14 +286,14 @@
 
 // ------------------------------------------------------------------------------------- in a relay
 
-// A list with more destinations than the limit on active ones. Only a few have an endpoint that answers.
+// More destinations than can be active, few of which have an endpoint that answers.
 class LongListTest : public RelayTest {
  protected:
-  static constexpr int kMany = 6'000;
+  static constexpr int kExtraDestinations = 6'000;
 
   json::object long_list(std::int64_t version) {
     json::object all = list();
-    for (int i = 0; i < kMany; ++i) {
+    for (int i = 0; i < kExtraDestinations; ++i) {
       all.at("servers").as_array().push_back(json::object{{"id", "far" + std::to_string(i)},
                                                           {"addr", "127.0.0.1:9"},
                                                           {"zone", "a"},
@@ -318,18 +316,18 @@
     entry["state"] = state;
     return {{"version", version}, {"full", false}, {"servers", json::array{entry}}};
   }
-  std::string call_second(const std::string& line) { return test::call(admin_address_, line); }
-  // Pushes a last change. Once it is in force (await_last), all earlier ones are too.
+  std::string call_admin(const std::string& line) { return test::call(admin_address_, line); }
+  // Pushes a change whose effect shows that all earlier ones were applied.
   void push_last(std::int64_t version) {
     list_host("last", 9, "plain", "127.0.0.1:9");
     push(change("last", "SERVING", version));
   }
-  void await_last() {
-    while (call_second("ONLINE last") != "ACK") std::this_thread::yield();
+  void wait_for_last() {
+    while (call_admin("ONLINE last") != "ACK") std::this_thread::yield();
   }
 };
 
-TEST_F(LongListTest, MessagesWakeWhatTheyAreForAndBansAndDrainsOfWhatRestsHold) {
+TEST_F(LongListTest, MessagesActivateDestinationsAndInactiveEndpointsStayDisabledAndDraining) {
   add_host("h1", 1, "plain", kAccept);
   add_host("h2", 2, "plain", kAccept);
   add_host("h3", 2, "plain", kAccept);
@@ -338,13 +336,13 @@
   ASSERT_EQ(submit("a", "note", 1), 202U);
   ASSERT_TRUE(wait_delivered("a"));
   EXPECT_EQ(submit("b", "note", 999), 503U);
-  EXPECT_EQ(call_second("OFFLINE h2"), "ACK");  // destinations 2 and 3 are inactive
+  EXPECT_EQ(call_admin("OFFLINE h2"), "ACK");  // both are inactive
   push(change("h4", "DRAINING", 6));
   push_last(7);
-  await_last();
+  wait_for_last();
   for (int i = 0; i < 10; ++i) pass_marker("c" + std::to_string(i), 2);
   EXPECT_EQ(watched_.read([&] { return std::ranges::count(deliveries_, "h2", &Delivery::host); }), 0);
-  EXPECT_EQ(call_second("ONLINE h2"), "ACK");
+  EXPECT_EQ(call_admin("ONLINE h2"), "ACK");
   ASSERT_EQ(submit("d", "note", 3), 202U);
   pass_marker("e", 1);
   EXPECT_EQ(count_deliveries("d"), 0U);
@@ -356,9 +354,9 @@
   changed["known"] = list();
   start(changed);
   const std::string whole = json::serialize(long_list(7));
-  const std::vector<std::string> corrupt = {whole.substr(0, whole.size() - 1),
-                                            whole.substr(0, 100'000) + "}}" + whole.substr(100'000)};
-  for (const std::string& text : corrupt) {
+  const std::vector<std::string> invalid_lists = {whole.substr(0, whole.size() - 1),
+                                                  whole.substr(0, 100'000) + "}}" + whole.substr(100'000)};
+  for (const std::string& text : invalid_lists) {
     watched_.change([&] {
       pushed_ = {text};
       watches_to_end_ = 0;
@@ -366,17 +364,17 @@
     });
     ASSERT_TRUE(wait_requested("first", "/catalog"));
     pass_marker("m" + std::to_string(text.size()), 1);
-    EXPECT_TRUE(call_second("ONLINE far0").starts_with("NAK"));
+    EXPECT_TRUE(call_admin("ONLINE far0").starts_with("NAK"));
     watched_.change([&] { watches_to_end_ = 1'000; });
   }
   watched_.change([&] {
     pushed_ = {whole};
     watches_to_end_ = 0;
   });
-  push(change("h1", "DRAINING", 8));  // immediately after the list
+  push(change("h1", "DRAINING", 8));  // right after it
   push_last(9);
-  await_last();
-  EXPECT_EQ(call_second("ONLINE far0"), "ACK");
+  wait_for_last();
+  EXPECT_EQ(call_admin("ONLINE far0"), "ACK");
   ASSERT_EQ(submit("late", "note", 1), 202U);
   process_->signal(SIGKILL);
   process_->wait();
--- a/tests/loopback.cpp
+++ b/tests/loopback.cpp
@@ -107,7 +107,7 @@
 Response ask(const std::string& address, const Request& request) {
   boost::asio::io_context context;
   tcp::socket socket = connect(context, address);
-  boost::system::error_code ignored;  // a refusal may come before the last byte is written
+  boost::system::error_code ignored;  // the relay may answer before the last byte is written
   http::write(socket, request, ignored);
   boost::beast::flat_buffer buffer;
   Response response;
@@ -128,7 +128,7 @@
 Process::Process(const std::string& program, const std::map<std::string, std::string>& environment) {
   int ends[2];
   if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe2");
-  // Not fork(): other threads of the test may hold locks that the child would never see released.
+  // Not fork(): other threads of the test may hold locks that would never be released in the child.
   std::vector<std::string> words;
   for (char** entry = environ; *entry; ++entry) {
     if (!std::string_view(*entry).starts_with("PROXY_")) words.emplace_back(*entry);
@@ -142,7 +142,7 @@
   posix_spawn_file_actions_t actions;
   ::posix_spawn_file_actions_init(&actions);
   ::posix_spawn_file_actions_adddup2(&actions, ends[1], STDERR_FILENO);
-  // Sockets of the test's own peers would stay open in the program, and count for it.
+  // Sockets of the test would otherwise stay open in the program and count towards its descriptors.
   ::posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
   const int failed = ::posix_spawn(&pid_, path.c_str(), &actions, nullptr, arguments, pointers.data());
   ::posix_spawn_file_actions_destroy(&actions);
@@ -159,7 +159,7 @@
     }
   }
   while (head_.size() > 1 && head_.back().empty()) head_.pop_back();
-  // Further lines must not end the program for want of a reader.
+  // Keeps reading: without a reader, further log lines would end the program with SIGPIPE.
   log_reader_ = std::thread([this, end = ends[0]] {
     char rest[512];
     for (ssize_t count; (count = ::read(end, rest, sizeof rest)) > 0;) {
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -1,5 +1,5 @@
-// What the tests of the relay need of the world, on loopback sockets: peers that answer as a test says, and
-// the relay as a process that can be killed.
+// Fixtures for the tests of the relay on loopback sockets: peers with scripted answers, and the relay as a
+// process that can be killed.
 #pragma once
 
 #include <sys/types.h>
@@ -24,7 +24,7 @@
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
 using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-// Something that is awaited with a condition, not with a sleep.
+// Guards shared state and waits for conditions on it without sleeping.
 class Watched {
  public:
   template <typename Change>
@@ -33,7 +33,7 @@
     change();
     changed_.notify_all();
   }
-  // False if the condition does not hold within a time that only a fault can take.
+  // Returns false if the condition does not hold within a timeout that only a fault can reach.
   template <typename Condition>
   bool wait(Condition condition) {
     std::unique_lock lock(mutex_);
@@ -50,12 +50,12 @@
   std::condition_variable changed_;
 };
 
-// A server on a port of the kernel's choice. The handler answers on the socket and returns whether the
-// connection goes on; it runs on a thread of that connection's own.
+// An HTTP server. The handler answers on the socket and returns whether the connection stays open; each
+// connection has its own thread.
 class Peer {
  public:
   using Handler = std::function<bool(tcp::socket&, Request&)>;
-  // At a port of the kernel's choice, or at the one that is given.
+  // Listens on the given port; with 0 the kernel chooses one.
   explicit Peer(Handler handler, std::uint16_t port = 0);
   ~Peer();
   std::string address() const;
@@ -73,12 +73,12 @@
   std::thread acceptor_thread_;
 };
 
-// An address whose connections never come up: nobody accepts them, and the backlog is full.
+// An address where connections are never established: nothing accepts them, and the backlog is full.
 class FullBacklog {
  public:
   FullBacklog();
   std::string address() const;
-  // Accepts from now on and for so long, so that connections come up late: the number of those that bring
+  // Accepts connections for the given time, so that they are established late. Returns how many have received
   // bytes.
   std::size_t connections_with_bytes(std::chrono::milliseconds time);
 
@@ -93,13 +93,13 @@
 
 tcp::socket connect(boost::asio::io_context& context, const std::string& address);
 
-// One request on a connection of its own.
+// Sends one request on a new connection and returns the response.
 Response ask(const std::string& address, const Request& request);
 
-// One line to a relay's second address, and the line that it replies; empty: none.
+// Sends one line to a relay's admin address and returns its reply; empty if there is none.
 std::string call(const std::string& address, const std::string& line);
 
-// The relay's program. Its addresses are read from its log.
+// A process of the relay program. Its addresses are read from its log.
 class Process {
  public:
   Process(const std::string& program, const std::map<std::string, std::string>& environment);
@@ -107,11 +107,11 @@
   void signal(int number);
   int wait();  // exit status; 128 + the signal that ended it
   pid_t pid() const { return pid_; }
-  // The last line of its start; of a program that ended at once, the last one that it wrote.
+  // Returns the last line of the start-up log, or the last line at all if the program ended at once.
   std::string first_line() const { return head_.back(); }
   std::string address() const { return last_word(first_line()); }
   std::string second_address() const;
-  std::string log() const;  // what came behind the first line; whole once wait() has returned
+  std::string log() const;  // what follows the first line; complete once wait() has returned
   std::string log_with_start() const;
 
  private:
@@ -121,7 +121,7 @@
   std::thread log_reader_;
   static std::string last_word(const std::string& line) { return line.substr(line.rfind(' ') + 1); }
 
-  std::vector<std::string> head_;  // the lines up to the one that tells where clients connect
+  std::vector<std::string> head_;  // the lines up to the one with the address for clients
 };
 
 }  // namespace myrtlegrade::test
