--- a/relay/fleet_config.cpp
+++ b/relay/fleet_config.cpp
@@ -11,8 +11,8 @@
 #include <map>
 #include <stdexcept>
 
-#include "bytes.h"
 #include "json_fields.h"
+#include "record_codec.h"
 
 namespace myrtlegrade {
 namespace {
@@ -20,7 +20,7 @@
 namespace json = boost::json;
 namespace membership = valedrum::membership;
 
-enum class Written : std::uint8_t { version_1 = 1 };
+enum class FileVersion : std::uint8_t { version_1 = 1 };
 
 using Field = fields::Field<FleetConfig>;
 
@@ -57,24 +57,24 @@
       {"advertise", address_of(&FleetConfig::advertise)},
       {"machine", text_of(&FleetConfig::machine)},
       {"zone", text_of(&FleetConfig::zone)},
-      {"probe_ms", span_of<milliseconds>(&S::probe_every)},
-      {"ack_ms", span_of<milliseconds>(&S::ack_within)},
-      {"tombstone_s", span_of<seconds>(&S::tombstone)},
-      {"reconnect_s", span_of<seconds>(&S::reconnect_most)},
-      {"indirect", number_of(&S::indirect)},
+      {"probe_ms", span_of<milliseconds>(&S::probe_interval)},
+      {"ack_ms", span_of<milliseconds>(&S::ack_timeout)},
+      {"tombstone_s", span_of<seconds>(&S::tombstone_retention)},
+      {"reconnect_s", span_of<seconds>(&S::max_reconnect_interval)},
+      {"indirect", number_of(&S::indirect_probes)},
       {"confirmations", number_of(&S::confirmations)},
       {"seeds",
        [](FleetConfig& c, const json::value& v, std::string_view f) {
          if (!v.is_array()) fields::reject(f, "not a list");
          for (const json::value& seed : v.as_array()) c.settings.seeds.push_back(fields::address(seed, f));
        }},
-#ifdef VALEDRUM_BREAKABLE  // a build of the tests alone: they have to see that what is broken is noticed
+#ifdef VALEDRUM_BREAKABLE  // test builds only: tests disable a safeguard and check that the fault is detected
       {"without",
        [](FleetConfig& c, const json::value& v, std::string_view f) {
-         const auto* named =
-             std::ranges::find(membership::kWithoutNames, fields::text(v, f), &membership::WithoutName::name);
-         if (named == std::end(membership::kWithoutNames)) fields::reject(f, "no such part");
-         c.settings.without = named->without;
+         const auto* named = std::ranges::find(membership::kDisabledSafeguardNames, fields::text(v, f),
+                                               &membership::DisabledSafeguardName::name);
+         if (named == std::end(membership::kDisabledSafeguardNames)) fields::reject(f, "no such part");
+         c.settings.disabled_safeguard = named->disabled_safeguard;
        }},
 #endif
   };
@@ -90,8 +90,8 @@
   if (!c.bind) fields::reject("fleet.bind", "missing");
   if (!c.advertise) c.advertise = c.bind;
   if (c.machine.empty()) c.machine = boost::asio::ip::address_v4(c.advertise.ip).to_string();
-  if (c.machine.size() > membership::kMostName) fields::reject("fleet.machine", "has more than 64 bytes");
-  if (c.zone.size() > membership::kMostZone) fields::reject("fleet.zone", "has more than 32 bytes");
+  if (c.machine.size() > membership::kMaxNameBytes) fields::reject("fleet.machine", "has more than 64 bytes");
+  if (c.zone.size() > membership::kMaxZoneBytes) fields::reject("fleet.zone", "has more than 32 bytes");
   try {
     membership::check(c.settings);
   } catch (const std::invalid_argument& e) {
@@ -110,25 +110,25 @@
   }
 }
 
-// Why it can't be used; nothing where it can.
 const char* FleetIdentity::read(const std::string& bytes) {
-  Reader outer(bytes);
+  RecordReader outer(bytes);
   const auto payload = outer.record();
   if (!payload || payload->empty()) return "it is damaged";
-  Reader in(*payload);
-  if (in.kind<Written>() != Written::version_1)
+  RecordReader in(*payload);
+  if (in.kind<FileVersion>() != FileVersion::version_1)
     throw std::runtime_error(folder_ + "/fleet is of a later program");
-  const std::string of = in.text(), who = in.text();
+  const std::string fleet = in.text(), name = in.text();
   const std::uint64_t incarnation = in.number();
-  if (!in.good || !in.empty() || incarnation > membership::kMostIncarnation) return "it is damaged";
-  if (of != fleet_ || who != name_) return "it is another member's";
+  if (!in.good || !in.empty() || incarnation > membership::kMaxIncarnation) return "it is damaged";
+  if (fleet != fleet_ || name != name_) return "it belongs to another member";
   incarnation_ = incarnation;
   return nullptr;
 }
 
-bool FleetIdentity::keep(std::uint64_t incarnation) {
+bool FleetIdentity::save(std::uint64_t incarnation) {
   incarnation_ = incarnation;
-  const std::string bytes = Writer(Written::version_1).text(fleet_).text(name_).number(incarnation).record();
+  const std::string bytes =
+      RecordWriter(FileVersion::version_1).text(fleet_).text(name_).number(incarnation).record();
   const std::string path = folder_ + "/fleet", fresh = path + ".new";
   const int file = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (file < 0) return false;
--- a/relay/host_list.h
+++ b/relay/host_list.h
@@ -1,23 +1,24 @@
-// Discovery's list of endpoints, as the program's parts give it to each other.
+// Types for discovery's list of endpoints, shared by the parts of the relay.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
 #include <string_view>
 
+#include "catalog/endpoint_table.h"
 #include "catalog/entry.h"
-#include "catalog/table.h"
 
 namespace myrtlegrade {
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
-struct WholeList {
+// A full list of endpoints and its version.
+struct HostListSnapshot {
   std::int64_t version = 0;
-  valedrum::catalog::Table entries;
+  valedrum::catalog::EndpointTable entries;
 };
 
-// `field` is named in the std::invalid_argument that is thrown for text that is no "address:port".
+// Parses "address:port". Throws std::invalid_argument that names `field` if the text has another form.
 Endpoint parse_endpoint(std::string_view text, std::string_view field);
 
 Endpoint to_endpoint(const valedrum::catalog::Address& address);
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -1,5 +1,6 @@
-// The relay's dealings with copies: what has to be known to others before it is promised or done, and what
-// others had begun. Whether something is sent, and where, is the module's to say here too.
+// The part of class Relay that replicates accepted messages to other relays (the copies group). It waits for
+// replication before a message is accepted, called or handed back, and takes over messages that other relays
+// accepted. As elsewhere in the relay, the decision module alone decides whether and where a message is sent.
 #include <iostream>
 #include <utility>
 
@@ -18,40 +19,41 @@
 
 namespace {
 
-// The same moment on the clock that copies tell time by, and back.
-copies::Time to_copies(const Moment& at) { return CopyNet::now() + until(at, read_clocks()); }
-Moment from_copies(copies::Time at) { return read_clocks() + (at - CopyNet::now()); }
+// Convert between the relay's timestamps and the clock of the copies state machine.
+copies::Time to_copies(const Timestamp& at) { return CopyNet::now() + until(at, read_clocks()); }
+Timestamp from_copies(copies::Time at) { return read_clocks() + (at - CopyNet::now()); }
 
 }  // namespace
 
-void Relay::make_copies() {
+void Relay::create_copies() {
   if (!config_.copies) return;
-  copies_ = std::make_shared<CopyNet>(
-      executor_, *config_.copies, *config_.fleet, config_.name, config_.state_folder, config_.copies_disk,
-      config_.durability, config_.seed, [this](const copies::CopyEvent& event) { on_copies(event); });
+  copies_ = std::make_shared<CopyNet>(executor_, *config_.copies, *config_.fleet, config_.name,
+                                      config_.state_folder, config_.copies_disk_bytes, config_.durability,
+                                      config_.seed,
+                                      [this](const copies::CopyEvent& event) { on_copy_event(event); });
 }
 
-// One that is held here for another relay, or that this one has found and may not act on yet: its promise
-// stands.
-bool Relay::copied_elsewhere(const HandIn& message, const Server::Respond& respond) const {
-  const copies::Item* item = copies_ ? copies_->copies().look(message.id) : nullptr;
+// Answers a request for a message that is stored here as a copy for another relay, or that this relay found
+// in its own state and does not own yet: a live one is already accepted. Returns whether it answered.
+bool Relay::answer_if_copied(const SubmittedMessage& message, const Server::Respond& respond) const {
+  const copies::Item* item = copies_ ? copies_->copies().find(message.id) : nullptr;
   if (!item) return false;
-  respond({item->live() ? Answer::Kind::taken : Answer::Kind::failed});
+  respond({item->live() ? Answer::Kind::accepted : Answer::Kind::failed});
   return true;
 }
 
-bool Relay::copy(const Open& open) {
+bool Relay::replicate(const OpenMessage& open) {
   copies::Item item;
-  item.until = to_copies(open.deadline);
+  item.deadline = to_copies(open.deadline);
   item.payload = std::make_shared<const copies::Payload>(
       copies::Payload{open.payload->id, open.cls, open.payload->key, open.payload->body, open.destination,
-                      runs_once(open.cls)});
-  return copies_->copies().take(CopyNet::now(), open.payload->id, std::move(item)) !=
-         copies::Copies::Taken::refused;
+                      is_at_most_once(open.cls)});
+  return copies_->copies().add(CopyNet::now(), open.payload->id, std::move(item)) !=
+         copies::Copies::Placement::refused;
 }
 
-void Relay::copy_attempt(const Open& open, const std::string& host, const std::string& zone) {
-  copies_->copies().attempt(CopyNet::now(), open.payload->id, {host, zone});
+void Relay::replicate_attempt(const OpenMessage& open, const std::string& host, const std::string& zone) {
+  copies_->copies().add_attempt(CopyNet::now(), open.payload->id, {host, zone});
 }
 
 Relay::~Relay() {
@@ -59,255 +61,270 @@
   if (copies_) copies_->stop();
 }
 
-void Relay::when_durable(Syncer::Then then) {
+void Relay::when_durable(Syncer::Callback then) {
   if (!syncer_) return then(true);
-  syncer_->after([this, then = std::move(then)](bool synced) {
+  syncer_->run_after_sync([this, then = std::move(then)](bool synced) {
     if (!synced) {
-      std::cerr << "myrtlegrade: a sync of the journal has failed: it is written anew before more is taken on"
+      std::cerr << "myrtlegrade: sync of the journal failed: rewriting it before accepting more messages"
                 << std::endl;
-      journal_.sync_failed();
-      retry_journal();
+      journal_.mark_sync_failed();
+      schedule_journal_retry();
     }
     then(synced);
   });
 }
 
-void Relay::promise(MessageId id) {
+void Relay::request_acceptance(MessageId id) {
   when_durable([this, id](bool synced) {
-    if (!synced || !copies_) return keep_promise(id, synced);
+    if (!synced || !copies_) return finish_acceptance(id, synced);
     const auto found = open_.find(id);
-    if (found == open_.end() || found->second.over) return;
-    promises_.emplace(
-        copies_->copies().await(CopyNet::now(), {found->second.payload->id}, copies::Copies::Need::promise),
-        id);
-    copies_->turn();
+    if (found == open_.end() || found->second.completed) return;
+    pending_acceptances_.emplace(copies_->copies().wait_for(CopyNet::now(), {found->second.payload->id},
+                                                            copies::Copies::Requirement::acceptance),
+                                 id);
+    copies_->flush();
   });
 }
 
-void Relay::keep_promise(MessageId id, bool good) {
+void Relay::finish_acceptance(MessageId id, bool succeeded) {
   const auto found = open_.find(id);
-  if (found == open_.end() || found->second.over || !found->second.respond) return;
-  if (!good) return take_back(id);
-  ++counters_.taken;
-  std::exchange(found->second.respond, nullptr)({Answer::Kind::taken});
+  if (found == open_.end() || found->second.completed || !found->second.respond) return;
+  if (!succeeded) return cancel_acceptance(id);
+  ++counters_.accepted;
+  std::exchange(found->second.respond, nullptr)({Answer::Kind::accepted});
 }
 
-// Its client is told to come again: it was not promised anything yet.
-void Relay::take_back(MessageId id) {
-  Open& open = open_.at(id);
-  const bool may_be_found = journal_.may_be_found(open.payload->id);
-  journal_.end(open.payload->id);
-  if (copies_) copies_->copies().over(CopyNet::now(), open.payload->id);
-  // Refused, its client hands it in again: then a restart must not find it here.
-  const bool forgotten = flush_journal() || !may_be_found;
-  const Answer::Kind kind = forgotten ? Answer::Kind::refused : Answer::Kind::failed;
+// Cancels an acceptance that could not be made durable or replicated. Its client has no answer yet, so it is
+// asked to submit the message again.
+void Relay::cancel_acceptance(MessageId id) {
+  OpenMessage& open = open_.at(id);
+  const bool may_survive_restart = journal_.may_survive_restart(open.payload->id);
+  journal_.complete(open.payload->id);
+  if (copies_) copies_->copies().complete(CopyNet::now(), open.payload->id);
+  // A client resubmits a refused message, so a restart of this relay must not restore it too.
+  const bool removed = flush_journal() || !may_survive_restart;
+  const Answer::Kind kind = removed ? Answer::Kind::refused : Answer::Kind::failed;
   if (open.respond) std::exchange(open.respond, nullptr)({kind, whole_ms(config_.settings.max_wait_hint)});
-  happened(vetchhinge::Withdrawn{id});
+  post_event(vetchhinge::Withdrawn{id});
   close_message(id);
 }
 
-void Relay::call_when_known(Calls calls) {
+void Relay::call_when_recorded(Calls calls) {
   for (DecidedCall& decided : calls) {
-    const std::uint64_t withheld = endpoints_.at(decided.host).withheld;
+    const std::uint64_t withheld = endpoints_.at(decided.host).unsent_cancellations;
     PendingCall call{std::move(decided), withheld};
     if (!syncer_) {
-      await_copies(std::move(call));
+      await_replication(std::move(call));
     } else {
-      const std::uint64_t ticket = ++last_undurable_;
+      const std::uint64_t ticket = ++last_disk_ticket_;
       pending_calls_.emplace(ticket, std::move(call));
       when_durable([this, ticket](bool synced) {
         auto pending = pending_calls_.extract(ticket);
         if (!pending) return;
-        if (!synced) return release(std::move(pending.mapped()), false);
-        await_copies(std::move(pending.mapped()));
-        if (copies_) copies_->turn();
+        if (!synced) return release_call(std::move(pending.mapped()), false);
+        await_replication(std::move(pending.mapped()));
+        if (copies_) copies_->flush();
       });
     }
   }
 }
 
-void Relay::await_copies(PendingCall call) {
-  if (!copies_) return release(std::move(call), true);
+void Relay::await_replication(PendingCall call) {
+  if (!copies_) return release_call(std::move(call), true);
   std::vector<std::string> ids;
   for (const CallItem& item : call.items) ids.push_back(item.payload->id);
-  const auto ticket = copies_->copies().await(CopyNet::now(), std::move(ids), copies::Copies::Need::act);
+  const auto ticket =
+      copies_->copies().wait_for(CopyNet::now(), std::move(ids), copies::Copies::Requirement::call);
   pending_calls_.emplace(ticket, std::move(call));
 }
 
-// What was called back meanwhile, or is for a message that is over, is as one that could not leave.
-void Relay::release(PendingCall call, bool good) {
+// Sends the call, or reports its attempts as not sent where replication failed. A call that was withheld
+// while it waited, and messages that were completed meanwhile, count as not sent too.
+void Relay::release_call(PendingCall call, bool succeeded) {
   const Endpoints::Host& host = endpoints_.at(call.host);
   const bool waited = copies_ || syncer_;
-  if (waited && (closing_ || host.withheld != call.withheld)) good = false;
-  std::vector<CallItem> go;
+  if (waited && (closing_ || host.unsent_cancellations != call.withhold_count)) succeeded = false;
+  std::vector<CallItem> to_send;
   for (CallItem& item : call.items) {
-    if (good && !(waited && open_.at(item.message).over)) {
-      go.push_back(std::move(item));
+    if (succeeded && !(waited && open_.at(item.message).completed)) {
+      to_send.push_back(std::move(item));
     } else {
-      reported(call.host, item, {Result::not_sent, false, {}, {}});
+      on_outcome(call.host, item, {Result::not_sent, false, {}, {}});
     }
   }
-  if (go.empty()) return call_over(call.number, CallEnd::withheld);
-  host_client_.call(call.number, call.host, host.address, std::move(go));
+  if (to_send.empty()) return on_call_ended(call.number, CallEnd::withheld);
+  host_client_.call(call.number, call.host, host.address, std::move(to_send));
 }
 
-// Handed back, its client comes with it again: work that may not be repeated must not be sent by others any
-// more by then. All other notices do no harm to what others may do.
-void Relay::tell(Notice notice) {
+// A client resubmits a message that is handed back. If the message may run at most once, no other relay may
+// still be able to send it by then, so its notice waits until the other members know of it. All other notices
+// are sent at once.
+void Relay::send_notice(Notice notice) {
   const auto found = ids_.find(notice.message);
-  const bool once = found != ids_.end() && runs_once(open_.at(found->second).cls);
-  const bool waits = notice.handed_back && once;
-  if (copies_) copies_->copies().owe(CopyNet::now(), notice.message, {notice.handed_back, notice.retry_in});
+  const bool at_most_once = found != ids_.end() && is_at_most_once(open_.at(found->second).cls);
+  const bool waits = notice.handed_back && at_most_once;
+  if (copies_)
+    copies_->copies().set_pending_notice(CopyNet::now(), notice.message,
+                                         {notice.handed_back, notice.retry_in});
   if (!waits) {
-    discovery_.send(std::move(notice));
+    discovery_.send_notice(std::move(notice));
   } else {
-    when_durable([this, notice = std::move(notice)](bool synced) { tell_now(notice, synced); });
+    when_durable(
+        [this, notice = std::move(notice)](bool synced) { send_notice_when_replicated(notice, synced); });
   }
-  if (copies_) copies_->turn();
+  if (copies_) copies_->flush();
 }
 
-void Relay::tell_now(Notice notice, bool durable) {
+void Relay::send_notice_when_replicated(Notice notice, bool durable) {
   notice.handed_back = notice.handed_back && durable;
-  if (!copies_ || !durable) return discovery_.send(std::move(notice));
-  const auto ticket = copies_->copies().await(CopyNet::now(), {notice.message}, copies::Copies::Need::tell);
-  untold_.emplace(ticket, std::move(notice));
-  copies_->turn();
+  if (!copies_ || !durable) return discovery_.send_notice(std::move(notice));
+  const auto ticket =
+      copies_->copies().wait_for(CopyNet::now(), {notice.message}, copies::Copies::Requirement::notice);
+  pending_notices_.emplace(ticket, std::move(notice));
+  copies_->flush();
 }
 
-void Relay::notice_settled(const std::string& message) {
-  journal_.notice_settled(message);
+void Relay::on_notice_settled(const std::string& message) {
+  journal_.settle_notice(message);
   if (!copies_) return;
-  copies_->copies().over(CopyNet::now(), message);
-  copies_->turn();
+  copies_->copies().complete(CopyNet::now(), message);
+  copies_->flush();
 }
 
 // -------------------------------------------------------------------------------------------- events
 
-void Relay::on_copies(const copies::CopyEvent& event) {
-  if (const auto* done = std::get_if<copies::Done>(&event)) return on_done(*done);
-  if (const auto* inherited = std::get_if<copies::Inherited>(&event)) return inherit(*inherited);
-  if (const auto* lost = std::get_if<copies::Lost>(&event)) return give_up(lost->id);
-  if (const auto* over = std::get_if<copies::Expired>(&event)) return expired(*over);
-  if (const auto* ended = std::get_if<copies::Ended>(&event)) {
-    if (waiting_.contains(ended->id)) {
-      journal_.end(ended->id);
-      end_waiting(ended->id);
+void Relay::on_copy_event(const copies::CopyEvent& event) {
+  if (const auto* completed = std::get_if<copies::TicketCompleted>(&event))
+    return on_ticket_completed(*completed);
+  if (const auto* gained = std::get_if<copies::OwnershipGained>(&event)) return on_ownership_gained(*gained);
+  if (const auto* lost = std::get_if<copies::OwnershipLost>(&event)) return on_ownership_lost(lost->id);
+  if (const auto* expiry = std::get_if<copies::Expired>(&event)) return on_expired(*expiry);
+  if (const auto* elsewhere = std::get_if<copies::CompletedElsewhere>(&event)) {
+    if (unconfirmed_.contains(elsewhere->id)) {
+      journal_.complete(elsewhere->id);
+      close_unconfirmed(elsewhere->id);
     }
   }
 }
 
-void Relay::on_done(const copies::Done& done) {
-  if (const auto promised = promises_.extract(done.ticket)) {
-    keep_promise(promised.mapped(), done.good);
-  } else if (auto pending = pending_calls_.extract(done.ticket)) {
-    release(std::move(pending.mapped()), done.good);
-  } else if (const auto untold = untold_.extract(done.ticket)) {
-    Notice& notice = untold.mapped();
-    if (!done.good && !copies_->copies().is_own(notice.message)) {  // another ends it
-      journal_.notice_settled(notice.message);
+void Relay::on_ticket_completed(const copies::TicketCompleted& completed) {
+  if (const auto acceptance = pending_acceptances_.extract(completed.ticket)) {
+    finish_acceptance(acceptance.mapped(), completed.succeeded);
+  } else if (auto pending = pending_calls_.extract(completed.ticket)) {
+    release_call(std::move(pending.mapped()), completed.succeeded);
+  } else if (const auto pending_notice = pending_notices_.extract(completed.ticket)) {
+    Notice& notice = pending_notice.mapped();
+    if (!completed.succeeded && !copies_->copies().is_owner(notice.message)) {  // the new owner completes it
+      journal_.settle_notice(notice.message);
       return;
     }
-    // Nobody could be told: one that may send it still must find it failed, not back with its client.
-    notice.handed_back = notice.handed_back && done.good;
-    discovery_.send(std::move(notice));
+    // No other member could be informed. One of them may still send the message, so it is reported as failed
+    // and not as handed back to its client.
+    notice.handed_back = notice.handed_back && completed.succeeded;
+    discovery_.send_notice(std::move(notice));
   }
 }
 
-// To be brought to its end as what a journal holds after a restart.
-void Relay::inherit(const copies::Inherited& inherited) {
-  if (closing_) return;  // it takes no further step: its lease runs out, and another inherits
-  const std::string& id = inherited.id;
-  const copies::Item& item = inherited.item;
+// Takes over a message whose ownership this relay gained, as it restores messages from its journal after a
+// restart.
+void Relay::on_ownership_gained(const copies::OwnershipGained& gained) {
+  if (closing_) return;  // the lease of a closing relay runs out, and another member becomes owner
+  const std::string& id = gained.id;
+  const copies::Item& item = gained.item;
   if (const auto own = ids_.find(id); own != ids_.end()) {
-    if (open_.at(own->second).over)
-      inherited_later_.insert_or_assign(id, inherited);  // its own calls are still out
+    if (open_.at(own->second).completed)
+      deferred_ownership_.insert_or_assign(id, gained);  // its own calls are still in flight
     return;
   }
-  if (ends_delivered(id)) return;
-  // It was given up here without the others' leave. What is remembered as taken or as handed back may have
-  // been theirs to end.
-  if (const Ended* const end = journal_.ended(id); end && end->told == Ended::Told::failed)
-    return copies_->copies().over(CopyNet::now(), id);
-  auto found = waiting_.extract(id);
+  if (complete_if_delivered(id)) return;
+  // This relay reported the message as failed without the agreement of the group, so it completes it there. A
+  // message recorded as accepted or handed back may belong to another owner and is taken over.
+  if (const CompletedMessage* const record = journal_.find_completed(id);
+      record && record->reply == CompletedMessage::Reply::failed)
+    return copies_->copies().complete(CopyNet::now(), id);
+  auto found = unconfirmed_.extract(id);
   if (!item.payload || !config_.dialect.classes.find(item.payload->cls)) {
     const Notice notice{id, false, {}};
-    journal_.end_owing(notice);
-    return tell(notice);
+    journal_.complete_with_notice(notice);
+    return send_notice(notice);
   }
   StoredMessage stored{id,
                        item.payload->cls,
                        item.payload->destination,
                        item.payload->key,
                        item.payload->body,
-                       from_copies(item.until),
+                       from_copies(item.deadline),
                        {}};
-  for (const copies::Attempt& a : item.attempts) {
-    stored.attempts.push_back({a.host, a.zone, from_copies(a.sent), a.fate != copies::Fate::never_ran});
+  for (const copies::Attempt& attempt : item.attempts) {
+    stored.attempts.push_back({attempt.host, attempt.zone, from_copies(attempt.sent_at),
+                               attempt.state != copies::AttemptState::never_ran});
   }
-  std::optional<OutCall> out;
+  std::optional<HandedOverAttempt> predecessor_call;
   if (found) {
-    out = found.mapped().out;
+    predecessor_call = found.mapped().predecessor_call;
   } else {
     journal_.accept(stored);
     for (std::uint32_t n = 0; n < stored.attempts.size(); ++n) {
-      journal_.attempt(id, n, stored.attempts[n]);
-      if (!stored.attempts[n].may_have_run) journal_.never_ran(id, n);
+      journal_.record_attempt(id, n, stored.attempts[n]);
+      if (!stored.attempts[n].may_have_run) journal_.record_never_ran(id, n);
     }
     journal_.flush();
   }
-  take_up(stored, out ? &*out : nullptr, inherited.astray);
-  if (out) apply_told(*out);
-  schedule();
+  restore_message(stored, predecessor_call ? &*predecessor_call : nullptr, gained.orphaned);
+  if (predecessor_call) apply_reported(*predecessor_call);
+  schedule_step();
 }
 
-// Another may act on it. What is out ends here, and says nothing any more.
-void Relay::give_up(const std::string& id) {
-  inherited_later_.erase(id);
+// Closes a message whose ownership this relay lost: another member may act on it now. Outcomes of its calls
+// that are still in flight are no longer reported.
+void Relay::on_ownership_lost(const std::string& id) {
+  deferred_ownership_.erase(id);
   const auto found = ids_.find(id);
   if (found == ids_.end()) return;
-  Open& open = open_.at(found->second);
-  if (open.over) return;
+  OpenMessage& open = open_.at(found->second);
+  if (open.completed) return;
   const MessageId message = found->second;
-  std::erase_if(untold_ends_, [message](const UntoldEnd& end) { return end.message == message; });
-  if (open.respond) {  // not promised to its client yet: it may come again
-    journal_.end(id);
+  std::erase_if(pending_completions_,
+                [message](const PendingCompletion& end) { return end.message == message; });
+  if (open.respond) {  // not accepted yet: its client may submit it again
+    journal_.complete(id);
     std::exchange(open.respond, nullptr)({Answer::Kind::refused, whole_ms(config_.settings.max_wait_hint)});
   } else {
-    journal_.end(id, ended(open, Ended::Told::taken));
+    journal_.complete(id, completion_record(open, CompletedMessage::Reply::accepted));
   }
-  happened(vetchhinge::Withdrawn{message});
+  post_event(vetchhinge::Withdrawn{message});
   close_message(message);
 }
 
-void Relay::expired(const copies::Expired& over) {
-  const auto own = ids_.find(over.id);
-  if (own != ids_.end() && !open_.at(own->second).over) return;  // the module ends it
-  if (ends_delivered(over.id)) return;
-  MessageTrace::event(over.id, "expired");
-  end_waiting(over.id);
-  Notice notice{over.id, over.notice.handed_back, whole_ms(over.notice.retry_in)};
-  if (const copies::Item* item = copies_->copies().look(over.id))
-    notice.owed_by = from_copies(item->until).steady + budgets::kNoticeOwed;
-  journal_.end_owing(notice);
+void Relay::on_expired(const copies::Expired& event) {
+  const auto own = ids_.find(event.id);
+  if (own != ids_.end() && !open_.at(own->second).completed) return;  // the decision module completes it
+  if (complete_if_delivered(event.id)) return;
+  MessageTrace::event(event.id, "expired");
+  close_unconfirmed(event.id);
+  Notice notice{event.id, event.notice.handed_back, whole_ms(event.notice.retry_in)};
+  if (const copies::Item* item = copies_->copies().find(event.id))
+    notice.due_by = from_copies(item->deadline).steady + budgets::kNoticeDeadline;
+  journal_.complete_with_notice(notice);
   journal_.flush();
-  discovery_.send(std::move(notice));
+  discovery_.send_notice(std::move(notice));
 }
 
-// Before this process gives over: what waits for others' word is taken back, for the next one knows nothing
-// of it.
-void Relay::settle_pending() {
+// Cancels calls and acceptances that still wait for replication. Runs before a handover, since the successor
+// does not learn of them.
+void Relay::cancel_pending() {
   if (!copies_) return;
   for (auto& [ticket, call] : std::exchange(pending_calls_, {})) {
-    never_called(call.number, call.host, call.items);
+    withhold_call(call.number, call.host, call.items);
   }
-  promises_.clear();
+  pending_acceptances_.clear();
   std::vector<MessageId> unanswered;
   for (const auto& [id, open] : open_) {
-    if (!open.over && open.respond) unanswered.push_back(id);
+    if (!open.completed && open.respond) unanswered.push_back(id);
   }
-  for (const MessageId id : unanswered) take_back(id);
+  for (const MessageId id : unanswered) cancel_acceptance(id);
   if (!copies_) return;
-  copies_->turn();
+  copies_->flush();
   copies_->stop();
 }
 
--- a/relay/relay_handover.cpp
+++ b/relay/relay_handover.cpp
@@ -1,4 +1,4 @@
-// The end of a process: a drain after SIGTERM, or giving over to a process that takes its place.
+// The end of a process: a drain after SIGTERM, or a handover to its successor.
 #include <iostream>
 #include <utility>
 
@@ -12,19 +12,21 @@
 namespace {
 
 // A planned restart kills the process some 3.7 s after SIGTERM.
-constexpr auto kWorkOn = 1500ms;      // messages are still taken on and sent
-constexpr auto kClientsCome = 600ms;  // new connections may still be on their way
-constexpr auto kLeaveAfter = 2800ms;  // whatever is out then
-constexpr auto kGoneAfter = 3200ms;   // the same where a new process serves meanwhile
-constexpr auto kToldAfter = 3400ms;   // whether the new process has heard of all or not
-constexpr auto kDrainLook = 20ms;
+constexpr auto kAcceptDuration = 1500ms;      // messages are still accepted and sent
+constexpr auto kMinDrainDuration = 600ms;     // clients' new connections may still arrive
+constexpr auto kCutCallsAfter = 2800ms;       // calls in flight are cut
+constexpr auto kCutHandedOverAfter = 3200ms;  // the same after a handover, when the successor serves
+constexpr auto kExitAfter = 3400ms;           // even if results are not reported to the successor yet
+constexpr auto kDrainPollInterval = 20ms;
 
 }  // namespace
 
 // ------------------------------------------------------------------------------------------ drain
 
-// What it knows goes out in one piece, between two steps: from here on every decision is the new process's.
-Writer Relay::give_over(Successor successor, std::function<void()> done, SteadyClock::time_point since) {
+// Takes the state in one piece, between two steps of the decision module: from here on, the successor makes
+// every decision.
+RecordWriter Relay::hand_over(Successor successor, std::function<void()> done,
+                              SteadyClock::time_point since) {
   timers_.clear();
   step();
   server_.stop_accepting();
@@ -32,93 +34,94 @@
   draining_ = closing_ = true;
   step_timer_.cancel();
   watch_timer_.cancel();
-  settle_pending();
-  // Of bans, told waits and changes of the list this process hears nothing any more: what has not left may
-  // not leave, and is the new process's to decide.
-  host_client_.withhold_all();
-  tell_ends(journal_.flush());
+  cancel_pending();
+  // This process no longer learns of disabled hosts, server backoffs and list changes. Calls that are not
+  // written yet are withheld, and left to the successor's decision.
+  host_client_.cancel_all_unsent();
+  report_completions(journal_.flush());
   journal_.retire();
   discovery_.stop();
   host_client_.close_all_idle();
-  host_client_.limit(0, config_.sockets);
-  Inheritance all;
-  all.list.version = endpoints_.version();
-  all.learned = sender_.learned(now());
-  all.out = calls_out();
-  all.earlier_calls_open = earlier_calls_open_;
-  log_hand_over(all.out);
-  all.leaving = server_.leaving();
-  all.descriptors = descriptors();
-  all.last_call = last_call_;
+  host_client_.set_connection_limits(0, config_.descriptor_limit);
+  HandoverState state;
+  state.list.version = endpoints_.version();
+  state.learned = sender_.snapshot(now());
+  state.in_flight = calls_in_flight();
+  state.unknown_calls_open = unknown_predecessor_calls_;
+  log_handover(state.in_flight);
+  state.leaving = server_.leaving();
+  state.descriptors = descriptors();
+  state.last_call = last_call_;
   successor_ = std::move(successor);
-  owners_.give_over();
-  drained_ = std::move(done);
+  owners_.mark_handed_over();
+  on_drained_ = std::move(done);
   draining_since_ = since;
-  drain_further();
-  return write(all, endpoints_.list(), config_.dialect.hosts);
+  continue_drain();
+  return write_handover_state(state, endpoints_.list(), config_.dialect.hosts);
 }
 
-std::vector<OutCall> Relay::calls_out() const {
-  std::vector<OutCall> all;
+std::vector<HandedOverAttempt> Relay::calls_in_flight() const {
+  std::vector<HandedOverAttempt> all;
   for (const auto& [id, open] : open_) {
-    for (const Out& out : open.out) {
-      const CallOut& call = calls_.at(out.call);
-      all.push_back({call.elsewhere ? call.owner : owners_.name(), open.payload->id, open.cls,
+    for (const AttemptInFlight& out : open.in_flight) {
+      const CallInFlight& call = calls_in_flight_.at(out.call);
+      all.push_back({call.at_predecessor ? call.owner : owners_.name(), open.payload->id, open.cls,
                      open.destination, out.attempt, endpoints_.name(out.host), endpoints_.at(out.host).zone,
-                     out.call, out.sent.wall, open.over});
+                     out.call, out.sent_at.wall, open.completed});
     }
   }
-  for (const auto& [id, waiting] : waiting_) {
-    if (waiting.out) all.push_back(*waiting.out);
+  for (const auto& [id, waiting] : unconfirmed_) {
+    if (waiting.predecessor_call) all.push_back(*waiting.predecessor_call);
   }
   return all;
 }
 
-// False: some of what became of them is not told yet.
+// Cuts the calls in flight. Returns false if some of their results are not reported yet.
 bool Relay::cut_calls() {
-  host_client_.cut_all();
-  if (!successor_) flush_journal();  // what never left may be tried by a restart
-  return !successor_ || (successor_->told_all() && owners_.written());
+  host_client_.abort_all();
+  if (!successor_) flush_journal();  // calls that were never sent may be tried again after the restart
+  return !successor_ || (successor_->all_reported() && owners_.written());
 }
 
-void Relay::successor_gone() {
-  std::cerr << "myrtlegrade: the new process is gone, calls_out=" << host_client_.calls_out() << " end now"
-            << std::endl;
-  host_client_.cut_all();
+void Relay::on_successor_lost() {
+  std::cerr << "myrtlegrade: the new process is gone, calls_out=" << host_client_.calls_in_flight()
+            << " end now" << std::endl;
+  host_client_.abort_all();
   owners_.release();
 }
 
 void Relay::drain(std::function<void()> done, SteadyClock::time_point since) {
   if (std::exchange(draining_, true)) return;
-  drained_ = std::move(done);
+  on_drained_ = std::move(done);
   draining_since_ = since;
   server_.drain();
-  drain_further();
+  continue_drain();
 }
 
-void Relay::drain_further() {
+void Relay::continue_drain() {
   const auto passed = SteadyClock::now() - draining_since_;
-  if (!closing_ && passed >= kWorkOn) {
-    if (!arrivals_.empty()) step();  // they still wait for their answer
+  if (!closing_ && passed >= kAcceptDuration) {
+    if (!new_messages_.empty()) step();  // their clients still wait for a response
     closing_ = true;
   }
-  tell_ends(flush_journal());
-  const bool idle = !successor_ && passed >= kClientsCome && held_ == 0 && server_.connections() == 0 &&
-                    host_client_.calls_out() == 0 && !discovery_.notices_pending();
-  const bool quiet = closing_ && calls_.empty() && server_.connections() == 0 &&
-                     (!successor_ || (successor_->told_all() && owners_.written()));
-  const bool leaves = passed >= (successor_ ? kGoneAfter : kLeaveAfter);
-  // The connections are closed before anybody may take this process for gone.
-  const bool told = leaves && (cut_calls() || passed >= kToldAfter);
-  if (idle || quiet || told) {
+  report_completions(flush_journal());
+  const bool idle = !successor_ && passed >= kMinDrainDuration && open_count_ == 0 &&
+                    server_.connections() == 0 && host_client_.calls_in_flight() == 0 &&
+                    !discovery_.notices_pending();
+  const bool quiet = closing_ && calls_in_flight_.empty() && server_.connections() == 0 &&
+                     (!successor_ || (successor_->all_reported() && owners_.written()));
+  const bool leaves = passed >= (successor_ ? kCutHandedOverAfter : kCutCallsAfter);
+  // Connections are closed before another process may treat this one as gone.
+  const bool cut_reported = leaves && (cut_calls() || passed >= kExitAfter);
+  if (idle || quiet || cut_reported) {
     log_counters();
-    drained_();
+    on_drained_();
     return;
   }
-  if (successor_ && host_client_.calls_out() == 0) owners_.release();  // nothing leaves any more
-  drain_timer_.expires_after(kDrainLook);
+  if (successor_ && host_client_.calls_in_flight() == 0) owners_.release();  // no further call is made
+  drain_timer_.expires_after(kDrainPollInterval);
   drain_timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) drain_further();
+    if (!error) continue_drain();
   });
 }
 
--- a/relay/slices.h
+++ b/relay/slices.h
@@ -1,4 +1,4 @@
-// Work that is too long for the loop to stand still for, done between the loop's other work.
+// Runs work that would block the event loop for too long in slices between its other handlers.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -7,22 +7,24 @@
 #include <memory>
 #include <utility>
 
-#include "catalog/table.h"
+#include "catalog/endpoint_table.h"
 
 namespace myrtlegrade {
 
-// Calls `slice` until it returns false, each time behind what else has become ready meanwhile.
+// Calls `slice` until it returns false. Handlers that became ready meanwhile run between two calls.
 inline void run_in_slices(const boost::asio::any_io_executor& executor, std::function<bool()> slice) {
   boost::asio::post(executor, [executor, slice = std::move(slice)]() mutable {
     if (slice()) run_in_slices(executor, std::move(slice));
   });
 }
 
-constexpr std::size_t kGivenBack = 2 << 20;  // bytes of a table in one slice: under a millisecond (ours)
+constexpr std::size_t kReleaseBytesPerSlice = 2 << 20;  // takes less than 1 ms
 
-inline void give_back(const boost::asio::any_io_executor& executor, valedrum::catalog::Table table) {
-  run_in_slices(executor, [held = std::make_shared<valedrum::catalog::Table>(std::move(table))] {
-    return !held->release(kGivenBack);
+// Frees the memory of a table in slices.
+inline void release_in_slices(const boost::asio::any_io_executor& executor,
+                              valedrum::catalog::EndpointTable table) {
+  run_in_slices(executor, [shared = std::make_shared<valedrum::catalog::EndpointTable>(std::move(table))] {
+    return !shared->release_memory(kReleaseBytesPerSlice);
   });
 }
 
--- a/tests/call_owners_test.cpp
+++ b/tests/call_owners_test.cpp
@@ -1,4 +1,4 @@
-// Which earlier processes may still have calls out, by the locks on their files.
+// Detection of earlier processes that may still have calls in flight, by the locks on their files.
 #include "call_owners.h"
 
 #include <fcntl.h>
@@ -17,8 +17,8 @@
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
 
-// Guards against counting the time for which a lock has been free from before its owner took it: a file is
-// made first and locked then, and who looks in between finds it free.
+// Guards against counting time before the owner locked its file as time for which the lock has been free: a
+// file is created first and then locked, and a poll in between finds it unlocked.
 TEST(CallOwnersTest, ALockThatWasFreeBeforeIsWaitedForAnew) {
   std::string pattern = fs::temp_directory_path() / "owners-XXXXXX";
   const fs::path folder = ::mkdtemp(pattern.data());
@@ -27,18 +27,18 @@
   boost::asio::io_context context;
   {
     CallOwners owners(context.get_executor(), folder,
-                      {.told = [](const std::string&, const CallRecord&) {},
-                       .gone = [&](const std::string&) { gone_at = std::chrono::steady_clock::now(); },
-                       .none_left = [] {}});
+                      {.on_record = [](const std::string&, const CallRecord&) {},
+                       .on_gone = [&](const std::string&) { gone_at = std::chrono::steady_clock::now(); },
+                       .on_none_left = [] {}});
     owners.start();
-    context.run_for(CallOwners::kLongestHoldUp / 3);
+    context.run_for(CallOwners::kMaxStall / 3);
     ASSERT_EQ(::flock(file, LOCK_EX | LOCK_NB), 0);
-    context.run_for(2 * CallOwners::kLongestHoldUp);
+    context.run_for(2 * CallOwners::kMaxStall);
     EXPECT_EQ(gone_at.time_since_epoch().count(), 0);
     ::close(file);
     const auto freed = std::chrono::steady_clock::now();
-    context.run_for(2 * CallOwners::kLongestHoldUp);
-    EXPECT_GE(gone_at - freed, CallOwners::kLongestHoldUp);
+    context.run_for(2 * CallOwners::kMaxStall);
+    EXPECT_GE(gone_at - freed, CallOwners::kMaxStall);
   }
   fs::remove_all(folder);
 }
--- a/tests/copies_check_test.cpp
+++ b/tests/copies_check_test.cpp
@@ -1,4 +1,5 @@
-// The ownership exchange in every order of events, within small bounds; and broken on purpose.
+// Model check of the ownership protocol: every order of events within small bounds, with and without each
+// safeguard.
 #include <gtest/gtest.h>
 
 #include "ownership.h"
@@ -6,55 +7,63 @@
 namespace valedrum::lab {
 namespace {
 
-using copies::Without;
+using copies::DisabledSafeguard;
 
-struct Case {
+struct BoundedCase {
   unsigned leases, crashes, losses, questions, attempts, copies;
   bool once;
-  Without without;
+  DisabledSafeguard disabled;
 };
 
-OwnershipResult explore(const Case& c) {
-  OwnershipBounds b;
-  b.ticks = c.leases;
-  b.crashes = c.crashes;
-  b.losses = c.losses;
-  b.questions = c.questions;
-  b.attempts = c.attempts;
-  b.copies = c.copies;
-  b.once = c.once;
-  b.without = c.without;
-  return explore(b);
+OwnershipResult explore(const BoundedCase& parameters) {
+  OwnershipBounds bounds;
+  bounds.ticks = parameters.leases;
+  bounds.crashes = parameters.crashes;
+  bounds.losses = parameters.losses;
+  bounds.questions = parameters.questions;
+  bounds.attempts = parameters.attempts;
+  bounds.copies = parameters.copies;
+  bounds.once = parameters.once;
+  bounds.without = parameters.disabled;
+  return explore(bounds);
 }
 
-class Ownership : public testing::TestWithParam<Case> {};
+class Ownership : public testing::TestWithParam<BoundedCase> {};
 
 TEST_P(Ownership, HoldsInEveryOrderAndIsSeenToBreak) {
-  const Case c = GetParam();
-  const OwnershipResult r = explore(c);
-  std::string story;
-  for (const std::string& line : r.story) story += line + "\n";
-  if (c.without == Without::nothing) {
-    EXPECT_EQ(r.broken, "") << story;
-    EXPECT_TRUE(r.whole);
-    EXPECT_GT(r.takeovers, 0U);
-    EXPECT_GT(r.calls, 0U);
+  const BoundedCase parameters = GetParam();
+  const OwnershipResult result = explore(parameters);
+  std::string trace;
+  for (const std::string& line : result.story) trace += line + "\n";
+  if (parameters.disabled == DisabledSafeguard::none) {
+    EXPECT_EQ(result.broken, "") << trace;
+    EXPECT_TRUE(result.whole);
+    EXPECT_GT(result.takeovers, 0U);
+    EXPECT_GT(result.calls, 0U);
   } else {
-    EXPECT_NE(r.broken, "");
-    EXPECT_GT(r.story.size(), 2U);
+    EXPECT_NE(result.broken, "");
+    EXPECT_GT(result.story.size(), 2U);
   }
 }
 
-constexpr Case kCases[] = {
-    {1, 0, 0, 1, 2, 2, true, Without::nothing},      {1, 0, 0, 1, 2, 2, false, Without::nothing},
-    {1, 1, 0, 1, 1, 2, true, Without::nothing},      {1, 0, 1, 1, 1, 2, false, Without::nothing},
-    {1, 0, 0, 1, 2, 1, true, Without::nothing},      {2, 0, 0, 1, 1, 1, false, Without::nothing},
-    {1, 0, 0, 1, 2, 2, true, Without::intents},      {1, 1, 1, 2, 2, 2, true, Without::lease},
-    {1, 0, 0, 1, 1, 2, true, Without::lease_start},  {2, 0, 0, 1, 1, 2, true, Without::patience},
-    {1, 0, 0, 1, 1, 2, true, Without::majority},     {2, 1, 0, 1, 1, 2, true, Without::promise},
-    {1, 1, 0, 1, 1, 2, true, Without::restart_wait}, {1, 0, 0, 1, 1, 2, true, Without::fence},
-    {1, 0, 0, 1, 2, 2, true, Without::merge},        {1, 0, 1, 1, 1, 2, true, Without::amnesia},
-    {1, 0, 0, 1, 2, 2, false, Without::astray},
+constexpr BoundedCase kCases[] = {
+    {1, 0, 0, 1, 2, 2, true, DisabledSafeguard::none},
+    {1, 0, 0, 1, 2, 2, false, DisabledSafeguard::none},
+    {1, 1, 0, 1, 1, 2, true, DisabledSafeguard::none},
+    {1, 0, 1, 1, 1, 2, false, DisabledSafeguard::none},
+    {1, 0, 0, 1, 2, 1, true, DisabledSafeguard::none},
+    {2, 0, 0, 1, 1, 1, false, DisabledSafeguard::none},
+    {1, 0, 0, 1, 2, 2, true, DisabledSafeguard::replicated_intent},
+    {1, 1, 1, 2, 2, 2, true, DisabledSafeguard::lease},
+    {1, 0, 0, 1, 1, 2, true, DisabledSafeguard::lease_start},
+    {2, 0, 0, 1, 1, 2, true, DisabledSafeguard::vote_withholding},
+    {1, 0, 0, 1, 1, 2, true, DisabledSafeguard::majority},
+    {2, 1, 0, 1, 1, 2, true, DisabledSafeguard::durable_promise},
+    {1, 1, 0, 1, 1, 2, true, DisabledSafeguard::restart_wait},
+    {1, 0, 0, 1, 1, 2, true, DisabledSafeguard::epoch_fence},
+    {1, 0, 0, 1, 2, 2, true, DisabledSafeguard::vote_merge},
+    {1, 0, 1, 1, 1, 2, true, DisabledSafeguard::lost_state_check},
+    {1, 0, 0, 1, 2, 2, false, DisabledSafeguard::orphan_check},
 };
 INSTANTIATE_TEST_SUITE_P(Bounds, Ownership, testing::ValuesIn(kCases));
 
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -1,8 +1,8 @@
-// The list of endpoints and the destinations that are awake, beneath a relay and in one.
+// Tests of the list of endpoints and of active destinations: of Endpoints alone and within a relay.
 #include <boost/asio/io_context.hpp>
 
 #include "catalog/list_reader.h"
-#include "config_text.h"
+#include "config_reader.h"
 #include "endpoints.h"
 #include "relay_fixture.h"
 
@@ -15,17 +15,17 @@
 using vetchhinge::HostList;
 using vetchhinge::HostState;
 
-// A list as discovery says it: entries of "id cell", with a state, a port and a kind where they differ.
-struct Said {
+// An entry of discovery's list.
+struct ListedEntry {
   std::string id;
   std::uint64_t cell = 0;
   std::string state = "SERVING";
   int port = 7070;
   std::string kind = "plain";
 };
-std::string text_of(const std::vector<Said>& entries, bool full, std::int64_t version = 1) {
+std::string text_of(const std::vector<ListedEntry>& entries, bool full, std::int64_t version = 1) {
   json::array servers;
-  for (const Said& e : entries) {
+  for (const ListedEntry& e : entries) {
     servers.push_back(json::object{{"id", e.id},
                                    {"addr", "10.0.0.1:" + std::to_string(e.port)},
                                    {"zone", "z-" + e.id},
@@ -37,10 +37,10 @@
   }
   return json::serialize(json::object{{"version", version}, {"full", full}, {"servers", servers}});
 }
-std::string nth(std::uint64_t i) { return std::string("e").append(std::to_string(i)); }
-std::vector<Said> many(std::uint64_t count) {
-  std::vector<Said> all;
-  for (std::uint64_t i = 0; i < count; ++i) all.push_back({nth(i), i});
+std::string endpoint_name(std::uint64_t i) { return std::string("e").append(std::to_string(i)); }
+std::vector<ListedEntry> entries_up_to(std::uint64_t count) {
+  std::vector<ListedEntry> all;
+  for (std::uint64_t i = 0; i < count; ++i) all.push_back({endpoint_name(i), i});
   return all;
 }
 
@@ -50,27 +50,27 @@
     dialect_.kinds.number("plain");
     dialect_.listed_rates = true;
     settings_.kinds.resize(1);
-    settings_.most_destinations = 4;
+    settings_.max_destinations = 4;
   }
   ~EndpointsTest() override { fs::remove_all(folder_); }
 
-  // What the module is told of a list.
-  HostList take(const std::vector<Said>& entries, bool full, std::int64_t version = 1) {
+  // Applies a list and returns the update for the module.
+  HostList apply_list(const std::vector<ListedEntry>& entries, bool full, std::int64_t version = 1) {
     const std::string text = text_of(entries, full, version);
     std::string_view rest = text;
-    EXPECT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::whole) << reader_.error();
+    EXPECT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete) << reader_.error();
     events_.clear();
     if (full) {
-      endpoints_.take_whole(version, reader_.take_entries(), HostList::Kind::whole, events_);
+      endpoints_.replace_list(version, reader_.take_entries(), HostList::Kind::whole, events_);
     } else {
-      EXPECT_FALSE(endpoints_.take_changes(version, reader_.entries(), true, events_));
+      EXPECT_FALSE(endpoints_.apply_changes(version, reader_.entries(), true, events_));
     }
-    reader_.next();
+    reader_.reset();
     return std::get<HostList>(events_.at(0));
   }
-  HostList wake(std::uint64_t cell) {
+  HostList activate(std::uint64_t cell) {
     events_.clear();
-    endpoints_.wake(cell, events_);
+    endpoints_.activate(cell, events_);
     return events_.empty() ? HostList{} : std::get<HostList>(events_.at(0));
   }
   std::vector<std::string> names(const HostList& list) const {
@@ -97,113 +97,113 @@
   Endpoints::Events events_;
 };
 
-TEST_F(EndpointsTest, UpToTheBoundAllAreAwakeInTheOrderOfTheList) {
-  const HostList whole = take({{"b", 2}, {"a", 1}, {"c", 2}, {"d", 3}}, true);
+TEST_F(EndpointsTest, UpToTheLimitAllAreActiveInTheOrderOfTheList) {
+  const HostList whole = apply_list({{"b", 2}, {"a", 1}, {"c", 2}, {"d", 3}}, true);
   EXPECT_EQ(whole.kind, HostList::Kind::whole);
   EXPECT_EQ(names(whole), (Names{"b", "a", "c", "d"}));
   EXPECT_EQ(whole.entries[2].host, HostId{2});
   EXPECT_EQ(whole.entries[0].rate, 2.5);
-  EXPECT_EQ(names(take({{"n", 9}, {"b", 2, "DRAINING"}}, false)), (Names{"n", "b"}));
-  EXPECT_TRUE(wake(9).entries.empty());
+  EXPECT_EQ(names(apply_list({{"n", 9}, {"b", 2, "DRAINING"}}, false)), (Names{"n", "b"}));
+  EXPECT_TRUE(activate(9).entries.empty());
 }
 
-TEST_F(EndpointsTest, BeyondItOnlyWhatAMessageComesForIsAwake) {
-  EXPECT_TRUE(take(many(100), true).entries.empty());
-  EXPECT_TRUE(endpoints_.known());
+TEST_F(EndpointsTest, BeyondItOnlyDestinationsWithMessagesAreActive) {
+  EXPECT_TRUE(apply_list(entries_up_to(100), true).entries.empty());
+  EXPECT_TRUE(endpoints_.has_seen_endpoints());
   EXPECT_TRUE(endpoints_.is_destination(50));
   EXPECT_FALSE(endpoints_.is_destination(100));
-  const HostList woken = wake(50);
-  EXPECT_EQ(woken.kind, HostList::Kind::changes);
-  EXPECT_EQ(names(woken), Names{"e50"});
-  EXPECT_EQ(endpoints_.at(woken.entries[0].host).zone, "z-e50");
-  EXPECT_TRUE(wake(50).entries.empty());
-  EXPECT_EQ(names(take({{"e50", 50, "DRAINING"}, {"e51", 51, "DRAINING"}}, false)), Names{"e50"});
-  // Kept of those that sleep too.
-  const catalog::Entry rests = endpoints_.list().at(endpoints_.list().find("e51").value());
-  EXPECT_EQ(rests.state, catalog::State::draining);
-  EXPECT_EQ(rests.zone, "z-e51");
-  EXPECT_EQ(rests.weight, 2.5);
-  EXPECT_EQ(rests.started_ms, 1'700'000'000'000);
-  EXPECT_EQ(wake(51).entries.at(0).state, HostState::draining);
-  EXPECT_EQ(names(take(many(100), true)), (Names{"e50", "e51"}));
+  const HostList activated = activate(50);
+  EXPECT_EQ(activated.kind, HostList::Kind::changes);
+  EXPECT_EQ(names(activated), Names{"e50"});
+  EXPECT_EQ(endpoints_.at(activated.entries[0].host).zone, "z-e50");
+  EXPECT_TRUE(activate(50).entries.empty());
+  EXPECT_EQ(names(apply_list({{"e50", 50, "DRAINING"}, {"e51", 51, "DRAINING"}}, false)), Names{"e50"});
+  // The fields of inactive entries are kept too.
+  const catalog::Entry inactive = endpoints_.list().at(endpoints_.list().find("e51").value());
+  EXPECT_EQ(inactive.state, catalog::EndpointState::draining);
+  EXPECT_EQ(inactive.zone, "z-e51");
+  EXPECT_EQ(inactive.weight, 2.5);
+  EXPECT_EQ(inactive.started_ms, 1'700'000'000'000);
+  EXPECT_EQ(activate(51).entries.at(0).state, HostState::draining);
+  EXPECT_EQ(names(apply_list(entries_up_to(100), true)), (Names{"e50", "e51"}));
 }
 
-TEST_F(EndpointsTest, PutAwayAndNeededAgainItIsToldAnew) {
-  take(many(100), true);
-  const HostId first = wake(7).entries.at(0).host;
-  endpoints_.put_away(7);
+TEST_F(EndpointsTest, EvictedAndNeededAgainItIsReportedAnew) {
+  apply_list(entries_up_to(100), true);
+  const HostId first = activate(7).entries.at(0).host;
+  endpoints_.evict(7);
   EXPECT_FALSE(dialect_.hosts.find("e7"));
-  const HostList again = wake(7);
+  const HostList again = activate(7);
   EXPECT_EQ(names(again), Names{"e7"});
   EXPECT_NE(again.entries[0].host, first);
-  // With a call out it keeps its record, and its number.
-  endpoints_.call_begins(again.entries[0].host);
-  endpoints_.put_away(7);
-  EXPECT_EQ(endpoints_.at(again.entries[0].host).out, 1U);
-  EXPECT_EQ(wake(7).entries.at(0).host, again.entries[0].host);
-  endpoints_.call_over(again.entries[0].host);
-  EXPECT_EQ(endpoints_.at(again.entries[0].host).out, 0U);
+  // With a call in flight it keeps its record and its id.
+  endpoints_.on_call_started(again.entries[0].host);
+  endpoints_.evict(7);
+  EXPECT_EQ(endpoints_.at(again.entries[0].host).attempts_in_flight, 1U);
+  EXPECT_EQ(activate(7).entries.at(0).host, again.entries[0].host);
+  endpoints_.on_call_ended(again.entries[0].host);
+  EXPECT_EQ(endpoints_.at(again.entries[0].host).attempts_in_flight, 0U);
 }
 
-TEST_F(EndpointsTest, OneThatRestsIsBannedByNameAndStaysOutWhenWoken) {
-  take(many(100), true);
+TEST_F(EndpointsTest, AnInactiveOneIsDisabledByNameAndStaysDisabledWhenActivated) {
+  apply_list(entries_up_to(100), true);
   EXPECT_TRUE(endpoints_.is_known("e8"));
   EXPECT_FALSE(endpoints_.is_known("e100"));
-  journal_.ban("e8");
-  const HostId out = endpoints_.number("e8");
-  endpoints_.withhold(out);
-  EXPECT_EQ(wake(8).entries.at(0).host, out);
-  endpoints_.put_away(8);
-  EXPECT_EQ(wake(8).entries.at(0).host, out);
-  endpoints_.put_away(8);
-  journal_.lift("e8");
-  endpoints_.forget_name("e8");
+  journal_.disable_host("e8");
+  const HostId out = endpoints_.host_id("e8");
+  endpoints_.cancel_unsent(out);
+  EXPECT_EQ(activate(8).entries.at(0).host, out);
+  endpoints_.evict(8);
+  EXPECT_EQ(activate(8).entries.at(0).host, out);
+  endpoints_.evict(8);
+  journal_.enable_host("e8");
+  endpoints_.release_name("e8");
   EXPECT_FALSE(dialect_.hosts.find("e8"));
 }
 
 TEST_F(EndpointsTest, AnIdThatMovesToAnotherDestinationIsAnotherHost) {
-  const HostId first = take({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
-  endpoints_.call_begins(first);
-  journal_.ban("a");
-  const HostList moved = take({{"a", 2}}, false);
+  const HostId first = apply_list({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
+  endpoints_.on_call_started(first);
+  journal_.disable_host("a");
+  const HostList moved = apply_list({{"a", 2}}, false);
   ASSERT_EQ(moved.entries.size(), 2U);
   EXPECT_EQ(moved.entries[0].host, first);
   EXPECT_EQ(moved.entries[0].state, HostState::gone);
   EXPECT_NE(moved.entries[1].host, first);
   EXPECT_EQ(moved.entries[1].destination, vetchhinge::DestinationId{2});
-  EXPECT_EQ(endpoints_.at(first).withheld, 1U);
+  EXPECT_EQ(endpoints_.at(first).unsent_cancellations, 1U);
   ASSERT_EQ(events_.size(), 2U);
-  EXPECT_EQ(std::get<vetchhinge::ByHand>(events_[1]).host, moved.entries[1].host);
-  EXPECT_EQ(endpoints_.name(first), "a");  // as long as its call is out
-  endpoints_.call_over(first);
+  EXPECT_EQ(std::get<vetchhinge::OperatorHostOverride>(events_[1]).host, moved.entries[1].host);
+  EXPECT_EQ(endpoints_.name(first), "a");  // while its call is in flight
+  endpoints_.on_call_ended(first);
   EXPECT_EQ(dialect_.hosts.find("a"), static_cast<std::uint32_t>(moved.entries[1].host));
-  // By a whole list too.
-  const HostList whole = take({{"a", 3}, {"b", 2}}, true);
+  // By a full list too.
+  const HostList whole = apply_list({{"a", 3}, {"b", 2}}, true);
   EXPECT_EQ(names(whole), (Names{"a", "b"}));
   EXPECT_NE(whole.entries[0].host, moved.entries[1].host);
 }
 
 TEST_F(EndpointsTest, ADestinationThatGoesWithACallOutComesBackUnderAnotherAddress) {
-  const HostId host = take({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
-  endpoints_.call_begins(host);
-  EXPECT_EQ(take({{"a", 0, "DELETED"}}, false).entries.at(0).state, HostState::gone);
-  EXPECT_EQ(endpoints_.at(host).withheld, 1U);
+  const HostId host = apply_list({{"a", 1}, {"b", 2}}, true).entries.at(0).host;
+  endpoints_.on_call_started(host);
+  EXPECT_EQ(apply_list({{"a", 0, "DELETED"}}, false).entries.at(0).state, HostState::gone);
+  EXPECT_EQ(endpoints_.at(host).unsent_cancellations, 1U);
   EXPECT_TRUE(endpoints_.is_destination(1));
-  EXPECT_EQ(take({{"a", 1, "SERVING", 9090}}, false).entries.at(0).host, host);
+  EXPECT_EQ(apply_list({{"a", 1, "SERVING", 9090}}, false).entries.at(0).host, host);
   EXPECT_EQ(endpoints_.at(host).address.port(), 9090);
-  endpoints_.call_over(host);
+  endpoints_.on_call_ended(host);
   EXPECT_TRUE(endpoints_.at(host).listed);
 }
 
 TEST_F(EndpointsTest, AListWithoutHalfOfWhatWasThere) {
-  take(many(100), true);
-  wake(10);
-  wake(60);
-  const HostList half = take(many(50), true);
+  apply_list(entries_up_to(100), true);
+  activate(10);
+  activate(60);
+  const HostList half = apply_list(entries_up_to(50), true);
   EXPECT_EQ(names(half), Names{"e10"});
   EXPECT_FALSE(dialect_.hosts.find("e60"));
   EXPECT_TRUE(endpoints_.is_destination(75));
-  while (endpoints_.tidy()) {
+  while (endpoints_.run_cleanup_slice()) {
   }
   EXPECT_TRUE(endpoints_.is_destination(75));
   EXPECT_FALSE(endpoints_.is_destination(100));
@@ -211,22 +211,22 @@
 }
 
 TEST_F(EndpointsTest, WhatIsOfNoKnownKindIsNoDestination) {
-  EXPECT_EQ(names(take({{"a", 1}, {"b", 2, "SERVING", 7070, "new"}}, true)), Names{"a"});
+  EXPECT_EQ(names(apply_list({{"a", 1}, {"b", 2, "SERVING", 7070, "new"}}, true)), Names{"a"});
   EXPECT_FALSE(endpoints_.is_destination(2));
   EXPECT_FALSE(endpoints_.is_known("b"));
-  const HostList changed = take({{"a", 1, "SERVING", 7070, "new"}, {"b", 2}}, false);
+  const HostList changed = apply_list({{"a", 1, "SERVING", 7070, "new"}, {"b", 2}}, false);
   EXPECT_EQ(changed.entries.at(0).state, HostState::gone);
   EXPECT_EQ(changed.entries.at(1).state, HostState::running);
   EXPECT_TRUE(endpoints_.is_destination(2));
 }
 
 TEST_F(EndpointsTest, ManyChangesAreTakenInPartsAndCountOnceAllAreIn) {
-  take(many(10), true, 4);
-  const std::string text = text_of(many(3'000), false, 9);
+  apply_list(entries_up_to(10), true, 4);
+  const std::string text = text_of(entries_up_to(3'000), false, 9);
   std::string_view rest = text;
-  ASSERT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::whole);
+  ASSERT_EQ(reader_.feed(rest, rest.size()), catalog::ListReader::Status::complete);
   int parts = 1;
-  for (bool first = true; endpoints_.take_changes(9, reader_.entries(), first, events_); first = false) {
+  for (bool first = true; endpoints_.apply_changes(9, reader_.entries(), first, events_); first = false) {
     EXPECT_EQ(endpoints_.version(), 4);
     ++parts;
   }
@@ -236,63 +236,64 @@
 }
 
 TEST_F(EndpointsTest, EndlessNewIdsAndDestinationsKeepMemoryFlat) {
-  take(many(100), true);
+  apply_list(entries_up_to(100), true);
   std::size_t before = 0;
   for (std::uint64_t i = 100; i < 100'000; ++i) {
-    catalog::Table change;
-    const std::string comes = nth(i), goes = nth(i - 100);
+    catalog::EndpointTable change;
+    const std::string added = endpoint_name(i), removed = endpoint_name(i - 100);
     catalog::Entry entry;
-    entry.id = comes;
+    entry.id = added;
     entry.kind = "plain";
     entry.cell = i;
     change.put(entry);
-    entry.id = goes;
-    entry.state = catalog::State::deleted;
+    entry.id = removed;
+    entry.state = catalog::EndpointState::deleted;
     change.put(entry);
-    endpoints_.take_changes(1, change, true, events_);
-    wake(i);
-    endpoints_.put_away(i);
+    endpoints_.apply_changes(1, change, true, events_);
+    activate(i);
+    endpoints_.evict(i);
     events_.clear();
     if (i == 10'000) before = endpoints_.list().bytes();
   }
   EXPECT_EQ(endpoints_.list().size(), 100U);
   EXPECT_LE(endpoints_.list().bytes(), before);
   EXPECT_TRUE(endpoints_.is_destination(99'000));
-  EXPECT_FALSE(endpoints_.is_destination(1'000));  // gone for long
+  EXPECT_FALSE(endpoints_.is_destination(1'000));  // it left the list long ago
   EXPECT_FALSE(dialect_.hosts.find("e99999"));
 }
 
-TEST(ConfigTextTest, TheListIsTakenOutOfATextCutAtAnyByte) {
-  const std::string known = text_of(many(3), true, 41);
+TEST(ConfigReaderTest, TheListIsTakenOutOfATextCutAtAnyByte) {
+  const std::string known = text_of(entries_up_to(3), true, 41);
   const std::string text = R"({"name":"known","a":{"known":{"x":[1]}},"s":"\"}","known": )" + known +
                            R"(,"b":[{}],"known ":{},"last":1})";
   const std::string rest = R"({"name":"known","a":{"known":{"x":[1]}},"s":"\"}","known": null)"
                            R"(,"b":[{}],"known ":{},"last":1})";
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-    ConfigText read(ConfigText::Known::read), passed(ConfigText::Known::pass_over);
-    for (ConfigText* to : {&read, &passed}) {
+    ConfigReader read(ConfigReader::KnownHosts::read), skipped(ConfigReader::KnownHosts::skip);
+    for (ConfigReader* to : {&read, &skipped}) {
       to->feed(std::string_view(text).substr(0, cut));
       to->feed(std::string_view(text).substr(cut));
-      EXPECT_EQ(to->rest(), rest);
+      EXPECT_EQ(to->json_without_hosts(), rest);
     }
-    const WholeList list = read.take_known();
+    const HostListSnapshot list = read.take_known_hosts();
     EXPECT_EQ(list.version, 41);
     EXPECT_EQ(list.entries.size(), 3U);
-    EXPECT_EQ(passed.take_known().entries.size(), 0U);
+    EXPECT_EQ(skipped.take_known_hosts().entries.size(), 0U);
   }
-  EXPECT_THROW(ConfigText(ConfigText::Known::read).feed(R"({"known":{"servers":1}})"), std::invalid_argument);
+  EXPECT_THROW(ConfigReader(ConfigReader::KnownHosts::read).feed(R"({"known":{"servers":1}})"),
+               std::invalid_argument);
 }
 
 // ------------------------------------------------------------------------------------- in a relay
 
-// More destinations than are awake, few of which have an endpoint that answers.
+// More destinations than can be active, few of which have an endpoint that answers.
 class LongListTest : public RelayTest {
  protected:
-  static constexpr int kMany = 6'000;
+  static constexpr int kExtraDestinations = 6'000;
 
   json::object long_list(std::int64_t version) {
     json::object all = list();
-    for (int i = 0; i < kMany; ++i) {
+    for (int i = 0; i < kExtraDestinations; ++i) {
       all.at("servers").as_array().push_back(json::object{{"id", "far" + std::to_string(i)},
                                                           {"addr", "127.0.0.1:9"},
                                                           {"zone", "a"},
@@ -305,7 +306,7 @@
     return all;
   }
   json::object with_long_list() {
-    json::object changed = with_second_address();
+    json::object changed = with_admin_address();
     changed["known"] = long_list(5);
     changed.at("settings").as_object()["discovery"] = "push";
     return changed;
@@ -315,36 +316,36 @@
     entry["state"] = state;
     return {{"version", version}, {"full", false}, {"servers", json::array{entry}}};
   }
-  std::string call_second(const std::string& line) { return test::call(second_, line); }
-  // A change by which it is seen that all before it has been taken.
+  std::string call_admin(const std::string& line) { return test::call(admin_address_, line); }
+  // Pushes a change whose effect shows that all earlier ones were applied.
   void push_last(std::int64_t version) {
     list_host("last", 9, "plain", "127.0.0.1:9");
     push(change("last", "SERVING", version));
   }
-  void await_last() {
-    while (call_second("ONLINE last") != "ACK") std::this_thread::yield();
+  void wait_for_last() {
+    while (call_admin("ONLINE last") != "ACK") std::this_thread::yield();
   }
 };
 
-TEST_F(LongListTest, MessagesWakeWhatTheyAreForAndBansAndDrainsOfWhatRestsHold) {
+TEST_F(LongListTest, MessagesActivateDestinationsAndInactiveEndpointsStayDisabledAndDraining) {
   add_host("h1", 1, "plain", kAccept);
   add_host("h2", 2, "plain", kAccept);
   add_host("h3", 2, "plain", kAccept);
   add_host("h4", 3, "plain", kAccept);
   start(with_long_list());
-  ASSERT_EQ(hand_in("a", "note", 1), 202U);
-  ASSERT_TRUE(wait_seen("a"));
-  EXPECT_EQ(hand_in("b", "note", 999), 503U);
-  EXPECT_EQ(call_second("OFFLINE h2"), "ACK");  // both rest
+  ASSERT_EQ(submit("a", "note", 1), 202U);
+  ASSERT_TRUE(wait_delivered("a"));
+  EXPECT_EQ(submit("b", "note", 999), 503U);
+  EXPECT_EQ(call_admin("OFFLINE h2"), "ACK");  // both are inactive
   push(change("h4", "DRAINING", 6));
   push_last(7);
-  await_last();
+  wait_for_last();
   for (int i = 0; i < 10; ++i) pass_marker("c" + std::to_string(i), 2);
   EXPECT_EQ(watched_.read([&] { return std::ranges::count(deliveries_, "h2", &Delivery::host); }), 0);
-  EXPECT_EQ(call_second("ONLINE h2"), "ACK");
-  ASSERT_EQ(hand_in("d", "note", 3), 202U);
+  EXPECT_EQ(call_admin("ONLINE h2"), "ACK");
+  ASSERT_EQ(submit("d", "note", 3), 202U);
   pass_marker("e", 1);
-  EXPECT_EQ(count_seen("d"), 0U);
+  EXPECT_EQ(count_deliveries("d"), 0U);
 }
 
 TEST_F(LongListTest, AListThatIsCutOrSpoiltLeavesTheOldOneInForceAndTheNextIsTaken) {
@@ -353,31 +354,31 @@
   changed["known"] = list();
   start(changed);
   const std::string whole = json::serialize(long_list(7));
-  const std::vector<std::string> spoilt = {whole.substr(0, whole.size() - 1),
-                                           whole.substr(0, 100'000) + "}}" + whole.substr(100'000)};
-  for (const std::string& text : spoilt) {
+  const std::vector<std::string> invalid_lists = {whole.substr(0, whole.size() - 1),
+                                                  whole.substr(0, 100'000) + "}}" + whole.substr(100'000)};
+  for (const std::string& text : invalid_lists) {
     watched_.change([&] {
       pushed_ = {text};
       watches_to_end_ = 0;
-      asked_["first"].clear();
+      platform_requests_["first"].clear();
     });
-    ASSERT_TRUE(wait_asked("first", "/catalog"));
+    ASSERT_TRUE(wait_requested("first", "/catalog"));
     pass_marker("m" + std::to_string(text.size()), 1);
-    EXPECT_TRUE(call_second("ONLINE far0").starts_with("NAK"));
+    EXPECT_TRUE(call_admin("ONLINE far0").starts_with("NAK"));
     watched_.change([&] { watches_to_end_ = 1'000; });
   }
   watched_.change([&] {
     pushed_ = {whole};
     watches_to_end_ = 0;
   });
-  push(change("h1", "DRAINING", 8));  // right behind it
+  push(change("h1", "DRAINING", 8));  // right after it
   push_last(9);
-  await_last();
-  EXPECT_EQ(call_second("ONLINE far0"), "ACK");
-  ASSERT_EQ(hand_in("late", "note", 1), 202U);
+  wait_for_last();
+  EXPECT_EQ(call_admin("ONLINE far0"), "ACK");
+  ASSERT_EQ(submit("late", "note", 1), 202U);
   process_->signal(SIGKILL);
   process_->wait();
-  EXPECT_EQ(count_seen("late"), 0U);
+  EXPECT_EQ(count_deliveries("late"), 0U);
   EXPECT_NE(process_->log().find("discovery: a list of the watch was cut after byte"), std::string::npos);
   EXPECT_NE(process_->log().find("discovery: a list of the watch can't be read"), std::string::npos);
 }
--- a/tests/earlier_calls_test.cpp
+++ b/tests/predecessor_calls_test.cpp
@@ -1,4 +1,4 @@
-// The decision module keeps back what an earlier process may still have out.
+/// Tests that the module does not repeat messages that a previous process may still have in flight.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -29,12 +29,12 @@
 
 Message recovered(Time now) {
   Message message{MessageId(1), 0, DestinationId(1), now + 6s};
-  message.past = {{ZoneId(0), now - 1s, true}};
-  message.recovered = message.earlier_call_open = true;
+  message.past_attempts = {{ZoneId(0), now - 1s, true}};
+  message.recovered = message.predecessor_call_open = true;
   return message;
 }
 
-TEST(EarlierCalls, NothingIsRepeatedBeforeTheyAreOver) {
+TEST(PredecessorCalls, NothingIsRepeatedBeforeTheyEnd) {
   Sender sender(one_class());
   Time now(100s);
   HostList list{HostList::Kind::cached, {{HostId(0), DestinationId(1), ZoneId(0)}}};
@@ -44,10 +44,10 @@
     ASSERT_EQ(sends(sender.step(now, {})), 0U) << i;
   }
   now += 20ms;
-  EXPECT_EQ(sends(sender.step(now, std::vector<Event>{EarlierCallsOver{}})), 1U);
+  EXPECT_EQ(sends(sender.step(now, std::vector<Event>{PredecessorCallsEnded{}})), 1U);
 }
 
-TEST(EarlierCalls, AMessageEndsInTimeThoughTheyAreNot) {
+TEST(PredecessorCalls, AMessageFailsInTimeThoughTheyDoNotEnd) {
   Sender sender(one_class());
   Time now(100s);
   HostList list{HostList::Kind::cached, {{HostId(0), DestinationId(1), ZoneId(0)}}};
